--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -1,4 +1,4 @@
-// Admission: which requests wait, start or are rejected, and the shares of client groups.
+// Admission: which requests wait, start or are rejected, and the quotas of client groups.
 #include <algorithm>
 #include <cmath>
 
@@ -8,152 +8,158 @@
 
 namespace copperfront {
 
-void Rules::query_arrived(QueryIndex i, const Arrival& facts) {
+void Rules::query_arrived(QueryIndex i, const Arrival& info) {
     now_ = host_.now();
-    if (i >= queries_.size()) queries_.resize(i + 1);
-    const std::uint32_t serial = queries_[i].serial + 1;
-    Query& q = queries_[i];
-    q = Query{};
+    if (i >= requests_.size()) requests_.resize(i + 1);
+    const std::uint32_t serial = requests_[i].serial + 1;
+    RoutedRequest& q = requests_[i];
+    q = RoutedRequest{};
     q.serial = serial;
-    q.facts = facts;
-    if (facts.avoid >= 0) q.avoid.push_back(static_cast<ServerIndex>(facts.avoid));
-    const Category& c = terms_.categories[facts.category];
-    q.came = now_;
-    q.goal = q.came + c.latency_goal + c.goal_per_thousand * (facts.prompt_tokens / 1000.0);
-    q.hard_stop = q.came + facts.budget;
-    // Not nothing, or a first empty prompt would divide by it.
-    learn(prompt_, std::max(1.0, facts.prompt_tokens));
-    learn(work_of_category_[facts.category], stream_estimate(q));
-    learn(work_, stream_estimate(q));
-    refill_cold();
-    if (now_ - weighed_at_ > kWeighEvery) weigh_cells();
-    if (facts.beginning != 0) {
-        // Its part of the traffic, of which a gateway among many sees little: what was met before, leaning
-        // towards how often two queries begin alike. Counting itself would give each text met once many
-        // homes.
-        if (popularity_.size() >= kTextsKept) popularity_.clear();
-        auto& [level, at] = popularity_[facts.beginning];
-        level *= std::exp(-seconds(q.came - at) / kRateWindowS);
-        alike_ += level;
-        pairs_ += arrivals_;
-        const double usual = (alike_ + kAlikeBefore) / (pairs_ + kPairsBefore);
-        q.part = (level + kFewArrivals * usual) / (arrivals_ + kFewArrivals);
-        level += 1;
-        at = q.came;
+    q.info = info;
+    if (info.avoid >= 0) q.avoided_servers.push_back(static_cast<ServerIndex>(info.avoid));
+    const Category& c = terms_.categories[info.category];
+    q.arrived_at = now_;
+    q.goal_deadline = q.arrived_at + c.latency_goal + c.goal_per_thousand * (info.prompt_tokens / 1000.0);
+    q.deadline = q.arrived_at + info.budget;
+    // At least 1: a first empty prompt would make the mean 0, by which others are divided.
+    add_sample(prompt_length_, std::max(1.0, info.prompt_tokens));
+    add_sample(work_by_category_[info.category], estimated_stream_tokens(q));
+    add_sample(average_work_, estimated_stream_tokens(q));
+    refill_slow_start();
+    if (now_ - shares_computed_at_ > kFleetShareInterval) compute_fleet_shares();
+    if (info.beginning != 0) {
+        // The shared prefix's share of the traffic. One gateway of many sees little of the traffic, so its
+        // own count is smoothed towards the rate at which two requests have the same shared prefix. With
+        // plain counts every prefix met once would get many preferred servers.
+        if (shared_prefix_counts_.size() >= kRememberedPrefixes) shared_prefix_counts_.clear();
+        auto& [count, counted_at] = shared_prefix_counts_[info.beginning];
+        count *= std::exp(-seconds(q.arrived_at - counted_at) / kRateWindowS);
+        matching_pairs_ += count;
+        all_pairs_ += recent_arrivals_;
+        const double match_rate = (matching_pairs_ + kPriorMatchingPairs) / (all_pairs_ + kPriorPairs);
+        q.prefix_share = (count + kPriorArrivals * match_rate) / (recent_arrivals_ + kPriorArrivals);
+        count += 1;
+        counted_at = q.arrived_at;
     }
-    arrivals_ += 1;
-    // A shade before the client leaves, so that the answer is there in time however the batches fall.
-    host_.set_timer(std::max(Span{0}, facts.budget - terms_.quantum),
-                    kQueryKeys + (TimerKey{i} << 30) + serial % (1U << 30));
-    q.stage = Stage::first_line;
-    if (over_share(q) && strain_ > kStrained) {
+    recent_arrivals_ += 1;
+    // One quantum before the client's deadline, so that the answer arrives in time whatever the batching of
+    // events.
+    host_.set_timer(std::max(Span{0}, info.budget - terms_.quantum),
+                    kRequestKeys + (TimerKey{i} << 30) + serial % (1U << 30));
+    q.stage = Stage::queued;
+    if (exceeds_quota(q) && goal_usage_ > kOverloadGoalUsage) {
         host_.ends(i, kOverItsShare);
-        return end(i, terms_.max_stay_away);
+        return end_request(i, terms_.max_stay_away);
     }
-    first_line_.emplace_back(i, serial);
-    pay_probes();
-    ask_readers(q);
-    serve_lines();
-    probe_some();
+    new_requests_.emplace_back(i, serial);
+    earn_probe_credit();
+    probe_preferred_servers(q);
+    serve_queues();
+    probe_stalest();
 }
 
-// Shares are told for all gateways; the front spreads clients evenly, so each holds its part.
-bool Rules::over_share(const Query& q) {
-    if (q.facts.client_group < 0) return false;
-    const auto g = static_cast<std::size_t>(q.facts.client_group);
-    if (g >= terms_.quotas.size() || terms_.quotas[g] <= 0) return false;
-    const double rate = terms_.quotas[g] / terms_.gateways;
-    share_level_[g] = std::min(share_burst(rate), share_level_[g] + rate * seconds(now_ - share_filled_[g]));
-    share_filled_[g] = now_;
-    if (share_level_[g] < 1) return true;
-    share_level_[g] -= 1;
+// Whether the request exceeds the quota of its client group, a token bucket. Quotas are given for all
+// gateways together. Clients are spread evenly over the gateways, so each gateway enforces its share.
+bool Rules::exceeds_quota(const RoutedRequest& q) {
+    if (q.info.client_group < 0) return false;
+    const auto group = static_cast<std::size_t>(q.info.client_group);
+    if (group >= terms_.quotas.size() || terms_.quotas[group] <= 0) return false;
+    const double rate = terms_.quotas[group] / terms_.gateways;
+    quota_credit_[group] =
+        std::min(quota_burst(rate), quota_credit_[group] + rate * seconds(now_ - quota_refilled_at_[group]));
+    quota_refilled_at_[group] = now_;
+    if (quota_credit_[group] < 1) return true;
+    quota_credit_[group] -= 1;
     return false;
 }
 
-// The hold is before the read: no writer shows room, no read.
-bool Rules::start(QueryIndex i) {
-    Query& q = queries_[i];
+// Requests wait before their prefill: without room at a decode server no prefill is started.
+bool Rules::try_start(QueryIndex i) {
+    RoutedRequest& q = requests_[i];
     ServerIndex s = 0;
-    const bool room = any_room(q);
-    if (room && q.ask_until > q.came) {
-        const Instant half = q.came + (q.ask_until - q.came) * 0.5, now = now_;
-        for (const ServerIndex asked : q.asked) {
-            if (!answers_at_once(q, asked) || (asked != q.asked[0] && now < half)) continue;
-            candidates_ = {q.asked[0], q.asked[1]};
-            q.ask_until = q.came;
-            tell(q, asked, true, "it answers at once");
-            return send(i, asked, true), true;
+    const bool has_room = any_decode_room(q);
+    if (has_room && q.probe_deadline > q.arrived_at) {
+        const Instant halfway = q.arrived_at + (q.probe_deadline - q.arrived_at) * 0.5, now = now_;
+        for (const ServerIndex probed : q.probed_servers) {
+            if (!answered_probe_quickly(q, probed) || (probed != q.probed_servers[0] && now < halfway))
+                continue;
+            candidates_ = {q.probed_servers[0], q.probed_servers[1]};
+            q.probe_deadline = q.arrived_at;
+            trace_choice(q, probed, true, "it answers at once");
+            return send(i, probed, true), true;
         }
-        if (now < q.ask_until) {
+        if (now < q.probe_deadline) {
             host_.held(i, "asked readers have not answered");
-            wake_soon((now < half ? half : q.ask_until) - now);
+            schedule_sweep((now < halfway ? halfway : q.probe_deadline) - now);
             return false;
         }
-        q.ask_until = q.came;
+        q.probe_deadline = q.arrived_at;
     }
-    if (room && pick_reader(q, s)) return send(i, s, true), true;
-    host_.held(i, room ? "no reader can take it in time" : "no writer shows room");
+    if (has_room && pick_prefill_server(q, s)) return send(i, s, true), true;
+    host_.held(i, has_room ? "no reader can take it in time" : "no writer shows room");
     return false;
 }
 
-// Against queries that wait only to be answered too late. One whose answer was lost has cost its work, most
-// of which is kept where it lies.
-Instant Rules::of_use_until(const Query& q) const {
-    return q.answer_lost ? q.hard_stop : std::min(q.goal, q.hard_stop);
+// Keeps requests from waiting only to be answered too late. A request whose answer was lost is useful up to
+// its deadline: its work is done, and most of it is still cached where it ran.
+Instant Rules::useful_until(const RoutedRequest& q) const {
+    return q.answer_lost ? q.deadline : std::min(q.goal_deadline, q.deadline);
 }
 
-void Rules::serve_lines() {
-    refill_cold();
-    if (now_ - looks_since_ >= kLooksEvery) {
-        looks_since_ = now_;
-        looks_ = 0;
+void Rules::serve_queues() {
+    refill_slow_start();
+    if (now_ - server_checks_since_ >= kServerCheckInterval) {
+        server_checks_since_ = now_;
+        server_checks_ = 0;
     }
-    serve_line(first_line_, Stage::first_line);
-    serve_line(further_line_, Stage::further_line);
-    if (!first_line_.empty() || !further_line_.empty()) wake_soon(kLooksEvery);
+    serve_queue(new_requests_, Stage::queued);
+    serve_queue(retries_, Stage::queued_for_retry);
+    if (!new_requests_.empty() || !retries_.empty()) schedule_sweep(kServerCheckInterval);
 }
 
-// Against requests that wait by the hundreds and cost a look at thousands of servers at each event: past a
-// bound on the looks of a while the rest waits for the next, those first that have not been tried.
-void Rules::serve_line(std::deque<std::pair<QueryIndex, std::uint32_t>>& line, Stage stage) {
-    const Span quick = kMs * (quick_of(read_time_) + quick_of(first_time_));
-    const std::size_t most_looks = looks_ / 2 + kMostLooks / 2;
-    for (std::size_t n = line.size(); n > 0 && looks_ < most_looks; --n) {
-        const auto [i, serial] = line.front();
-        line.pop_front();
-        Query& q = queries_[i];
+// Bounds the work when hundreds of requests wait and each event would examine thousands of servers for each
+// of them: past a limit on the servers examined in an interval the remaining requests wait for the next
+// interval, and those that have not been tried come first.
+void Rules::serve_queue(std::deque<std::pair<QueryIndex, std::uint32_t>>& queue, Stage stage) {
+    const Span quick_answer = kMs * (quick_time(prefill_time_) + quick_time(first_token_time_));
+    const std::size_t max_checks = server_checks_ / 2 + kMaxServerChecks / 2;
+    for (std::size_t n = queue.size(); n > 0 && server_checks_ < max_checks; --n) {
+        const auto [i, serial] = queue.front();
+        queue.pop_front();
+        RoutedRequest& q = requests_[i];
         if (q.serial != serial || q.stage != stage) continue;
-        const bool is_tried = !is_sabotaged(Sabotage::waiting_tried_once) || now_ == q.came;
-        if (is_tried && start(i)) continue;
-        if (now_ + quick > of_use_until(q) && now_ > q.came) {
+        const bool may_try = !is_sabotaged(Sabotage::waiting_tried_once) || now_ == q.arrived_at;
+        if (may_try && try_start(i)) continue;
+        if (now_ + quick_answer > useful_until(q) && now_ > q.arrived_at) {
             host_.ends(i, "it would be settled too late");
-            end(i, terms_.max_stay_away);
+            end_request(i, terms_.max_stay_away);
             continue;
         }
-        // Against a state that a read left behind after its answer was lost.
-        if (q.attempts > 0 && now_ - q.parked_since >= terms_.release_within * 0.4) {
+        // A prefill whose answer was lost may have left a state on its server, so that is released in time.
+        if (q.attempts > 0 && now_ - q.waiting_since >= terms_.release_within * 0.4) {
             host_.release(i);
-            q.parked_since = now_;
+            q.waiting_since = now_;
         }
-        line.emplace_back(i, serial);
+        queue.emplace_back(i, serial);
     }
 }
 
 Rules::Waiting Rules::waiting() const {
     Waiting waiting;
-    for (const Query& q : queries_) {
-        if (q.stage != Stage::first_line && q.stage != Stage::further_line && q.stage != Stage::parked)
+    for (const RoutedRequest& q : requests_) {
+        if (q.stage != Stage::queued && q.stage != Stage::queued_for_retry &&
+            q.stage != Stage::waiting_for_decode)
             continue;
-        if (waiting.requests++ == 0 || q.came < waiting.oldest) waiting.oldest = q.came;
+        if (waiting.requests++ == 0 || q.arrived_at < waiting.oldest) waiting.oldest = q.arrived_at;
     }
     return waiting;
 }
 
-void Rules::stand_again(QueryIndex i) {
-    Query& q = queries_[i];
-    q.stage = Stage::further_line;
-    further_line_.emplace_back(i, q.serial);
-    wake_soon(Span{0});
+void Rules::requeue(QueryIndex i) {
+    RoutedRequest& q = requests_[i];
+    q.stage = Stage::queued_for_retry;
+    retries_.emplace_back(i, q.serial);
+    schedule_sweep(Span{0});
 }
 
 }  // namespace copperfront
--- a/src/core/cell_mix.cpp
+++ b/src/core/cell_mix.cpp
@@ -1,4 +1,4 @@
-// Roles of servers, and the parts of prefill and decode servers of each cell and zone.
+// Roles of servers, and the shares of prefill and decode servers in each cell and zone.
 #include <algorithm>
 #include <utility>
 
@@ -7,86 +7,91 @@
 
 namespace copperfront {
 
-// The parts of readers, writers and reads of each cell and zone. Reads lean towards readers beside writers as
-// far as hand-overs out of a cell take longer than those within it.
-void Rules::weigh_cells() {
+// Computes the shares of prefill servers, decode servers and prefills of each cell and zone. Prefills are
+// shifted towards prefill servers with decode servers in the same cell, the more the longer hand-overs
+// between cells take compared with those within one.
+void Rules::compute_fleet_shares() {
     cells_.assign(cells_.size(), {});
     zones_.assign(zones_.size(), {});
-    double readers = 0, writers = 0, reads_all = 0;
-    const double near = hand_over_time(0),
-                 far = std::max({0.0, hand_over_time(1) - near, hand_over_time(2) - near});
-    const double beside = far > 0 ? far / (far + read_time_.mean) : 0.0;
-    weighed_at_ = now_;
-    const bool had = std::exchange(has_readers_, false);
-    for (ServerIndex s = 0; s < servers_; ++s) has_readers_ |= ready(s) && role_[s] == Role::reader;
-    // Mixed servers are judged by another pace from now on.
-    for (ServerIndex s = 0; s < servers_ && had != has_readers_; ++s)
-        if (role_[s] == Role::mixed) paced_[s] = 0;
-    for (ServerIndex s = 0; s < servers_; ++s) {
+    double prefill_servers = 0, decode_servers = 0, total_work = 0;
+    const double same_cell_time = hand_over_time(0),
+                 extra_time =
+                     std::max({0.0, hand_over_time(1) - same_cell_time, hand_over_time(2) - same_cell_time});
+    const double locality = extra_time > 0 ? extra_time / (extra_time + prefill_time_.mean) : 0.0;
+    shares_computed_at_ = now_;
+    const bool had_prefill_servers = std::exchange(has_prefill_servers_, false);
+    for (ServerIndex s = 0; s < server_count_; ++s)
+        has_prefill_servers_ |= is_ready(s) && role_[s] == Role::reader;
+    // Mixed servers are judged by the other pace from now on.
+    for (ServerIndex s = 0; s < server_count_ && had_prefill_servers != has_prefill_servers_; ++s)
+        if (role_[s] == Role::mixed) pace_samples_[s] = 0;
+    for (ServerIndex s = 0; s < server_count_; ++s) {
         if (cell_[s] >= cells_.size()) cells_.resize(cell_[s] + 1);
         if (zone_[s] >= zones_.size()) zones_.resize(zone_[s] + 1);
         cells_[cell_[s]].zone = zone_[s];
-        if (!ready(s)) continue;
-        readers += reads(s);
-        writers += writes(s);
-        cells_[cell_[s]].readers += reads(s);
-        cells_[cell_[s]].writers += writes(s);
+        if (!is_ready(s)) continue;
+        prefill_servers += does_prefill(s);
+        decode_servers += does_decode(s);
+        cells_[cell_[s]].prefill_share += does_prefill(s);
+        cells_[cell_[s]].decode_share += does_decode(s);
     }
-    for (Mix& cell : cells_) {
-        cell.readers /= std::max(1.0, readers);
-        cell.writers /= std::max(1.0, writers);
-        cell.reads = std::min(kReadStretch * cell.readers, cell.writers);
-        reads_all += cell.reads;
+    for (LocationShare& cell : cells_) {
+        cell.prefill_share /= std::max(1.0, prefill_servers);
+        cell.decode_share /= std::max(1.0, decode_servers);
+        cell.prefill_work = std::min(kPrefillStretch * cell.prefill_share, cell.decode_share);
+        total_work += cell.prefill_work;
     }
-    for (Mix& cell : cells_) {
-        cell.reads = cell.readers + (reads_all > 0 ? beside * (cell.reads / reads_all - cell.readers) : 0.0);
-        zones_[cell.zone].readers += cell.readers;
-        zones_[cell.zone].reads += cell.reads;
-        zones_[cell.zone].over += std::max(0.0, cell.reads - cell.writers);
-        zones_[cell.zone].spare += std::max(0.0, cell.writers - cell.reads);
+    for (LocationShare& cell : cells_) {
+        cell.prefill_work =
+            cell.prefill_share +
+            (total_work > 0 ? locality * (cell.prefill_work / total_work - cell.prefill_share) : 0.0);
+        zones_[cell.zone].prefill_share += cell.prefill_share;
+        zones_[cell.zone].prefill_work += cell.prefill_work;
+        zones_[cell.zone].excess += std::max(0.0, cell.prefill_work - cell.decode_share);
+        zones_[cell.zone].spare += std::max(0.0, cell.decode_share - cell.prefill_work);
     }
-    peers_ = {writers, readers};
-    far_spare_ = spare_readers_ = 0;
-    for (const Mix& zone : zones_) {
-        far_spare_ += std::max(0.0, zone.spare - zone.over);
-        spare_readers_ += std::max(0.0, zone.reads - 1.0 / static_cast<double>(zones_.size()));
+    role_sizes_ = {decode_servers, prefill_servers};
+    spare_in_other_zones_ = spare_prefill_ = 0;
+    for (const LocationShare& zone : zones_) {
+        spare_in_other_zones_ += std::max(0.0, zone.spare - zone.excess);
+        spare_prefill_ += std::max(0.0, zone.prefill_work - 1.0 / static_cast<double>(zones_.size()));
     }
-    reader_parts_.resize(servers_);
-    for (ServerIndex s = 0; s < servers_; ++s) reader_parts_[s] = part_of_reads(s);
+    prefill_weights_.resize(server_count_);
+    for (ServerIndex s = 0; s < server_count_; ++s) prefill_weights_[s] = compute_prefill_weight(s);
 }
 
-// After the list or the terms have changed.
+// Called after the server list or the terms have changed.
 void Rules::listed_servers_changed() {
     ready_prefill_.clear();
     ready_decode_.clear();
-    cold_.clear();
-    for (ServerIndex s = 0; s < servers_; ++s) {
-        if (!ready(s)) continue;
+    cold_servers_.clear();
+    for (ServerIndex s = 0; s < server_count_; ++s) {
+        if (!is_ready(s)) continue;
         if (role_[s] != Role::writer) ready_prefill_.push_back(s);
         if (role_[s] != Role::reader) ready_decode_.push_back(s);
-        if (is_cold(s)) cold_.push_back(s);
+        if (is_cold(s)) cold_servers_.push_back(s);
     }
     prefill_candidates_.invalidate();
     decode_candidates_.invalidate();
     servers_with_room_.invalidate();
 }
 
-// Whether it may be sent something may have changed.
-void Rules::capacity_changed(ServerIndex s) {
+// Called when a server may have become able or unable to receive requests.
+void Rules::availability_changed(ServerIndex s) {
     if (role_[s] != Role::writer) prefill_candidates_.invalidate();
     if (role_[s] == Role::reader) return;
     decode_candidates_.invalidate();
     servers_with_room_.invalidate();
 }
 
-// Mixed servers write: what they read slows all answers that they write, and only they and the writers can
-// write. They count as readers where there are no others.
-bool Rules::reads(ServerIndex s) const {
-    return role_[s] == Role::reader || (role_[s] == Role::mixed && !has_readers_);
+// Mixed servers decode: prefills there slow down all answers that they stream, and only mixed and decode
+// servers can decode. They count as prefill servers where there are no others.
+bool Rules::does_prefill(ServerIndex s) const {
+    return role_[s] == Role::reader || (role_[s] == Role::mixed && !has_prefill_servers_);
 }
 
-bool Rules::writes(ServerIndex s) const { return role_[s] != Role::reader; }
+bool Rules::does_decode(ServerIndex s) const { return role_[s] != Role::reader; }
 
-bool Rules::ready(ServerIndex s) const { return standing_[s] == Standing::ready; }
+bool Rules::is_ready(ServerIndex s) const { return status_[s] == Standing::ready; }
 
 }  // namespace copperfront
--- a/src/core/helpers.h
+++ b/src/core/helpers.h
@@ -1,4 +1,4 @@
-// Arithmetic and stores that the rules use; nothing here decides.
+// Arithmetic and containers that the router uses; nothing here takes decisions.
 #pragma once
 
 #include <algorithm>
@@ -13,81 +13,87 @@
 
 namespace copperfront {
 
-// A figure learned from a run of samples, with its mean deviation. `least`: the weight that a sample has at
-// the least, however many there were.
-struct Learned {
-    double mean = 0, spread = 0;
+// Exponentially weighted average of samples, with their mean deviation. Sample n weighs at least 1/n, so that
+// the average starts as the plain mean; `min_weight` is the weight of samples from then on.
+struct ExponentialAverage {
+    double mean = 0, deviation = 0;
     std::uint64_t samples = 0;
 
-    void learn(double sample, double least) {
+    void add_sample(double sample, double min_weight) {
         ++samples;
-        const double weight = std::max(least, 1.0 / static_cast<double>(samples));
-        const double off = std::abs(sample - mean);
+        const double weight = std::max(min_weight, 1.0 / static_cast<double>(samples));
+        const double error = std::abs(sample - mean);
         mean += weight * (sample - mean);
-        spread += weight * ((samples == 1 ? sample / 2 : off) - spread);
+        deviation += weight * ((samples == 1 ? sample / 2 : error) - deviation);
     }
 };
 
-// Spreads the bits of a mark evenly (the finisher of splitmix64).
+// Spreads the bits of a hash evenly (finalizer of splitmix64).
 inline std::uint64_t mixed(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31);
 }
 
+// Maps 64 random bits to [0, 1).
 inline double unit(std::uint64_t bits) { return static_cast<double>(bits >> 11) / 9007199254740992.0; }
 
-// The least of such arrivals falls on each in proportion to its part.
-inline double arrival_at(double drawn, double part) { return -std::log(1 - drawn) / part; }
+// An exponential variate from a uniform one in [0, 1). The lowest of several falls on each of them in
+// proportion to its weight, as in weighted rendezvous hashing.
+inline double weighted_score(double random, double weight) { return -std::log(1 - random) / weight; }
 
-// Keeps what was told last, in two generations of bounded size.
+// Cache that keeps the newest entries in two generations of bounded size: a full generation replaces the
+// previous one.
 template <class Value>
-class Recent {
+class GenerationalCache {
   public:
-    explicit Recent(std::size_t most) : most_(most) {}
-    void keep(std::uint64_t key, const Value& value) {
-        if (young_.size() >= most_) {
-            old_ = std::move(young_);
-            young_ = {};
+    explicit GenerationalCache(std::size_t capacity) : capacity_(capacity) {}
+    void put(std::uint64_t key, const Value& value) {
+        if (current_.size() >= capacity_) {
+            previous_ = std::move(current_);
+            current_ = {};
         }
-        young_[key] = value;
+        current_[key] = value;
     }
     const Value* find(std::uint64_t key) const {
-        if (const auto it = young_.find(key); it != young_.end()) return &it->second;
-        if (const auto it = old_.find(key); it != old_.end()) return &it->second;
+        if (const auto it = current_.find(key); it != current_.end()) return &it->second;
+        if (const auto it = previous_.find(key); it != previous_.end()) return &it->second;
         return nullptr;
     }
 
   private:
-    std::size_t most_;
-    std::unordered_map<std::uint64_t, Value> young_, old_;
+    std::size_t capacity_;
+    std::unordered_map<std::uint64_t, Value> current_, previous_;
 };
 
-// What one gateway tells the others: a letter, the end of a server's mark in five hexadecimal digits, a
-// figure in decimal ones. A few bytes, as each is paid for.
+// A note from one gateway to the others: a letter, the last five hexadecimal digits of a server's name hash,
+// and a decimal value. It is kept to a few bytes, as each one is charged.
 struct PeerNote {
-    char what = 0;
-    std::uint32_t mark = 0, figure = 0;
+    char type = 0;
+    std::uint32_t server_hash = 0, value = 0;
 
-    static constexpr double kMostFigure = 99'999'999;
-    static std::uint32_t end_of(std::uint64_t mark) { return static_cast<std::uint32_t>(mark & 0xfffff); }
-    static PeerNote of(char what, std::uint64_t mark, double figure) {
-        return {what, end_of(mark), static_cast<std::uint32_t>(std::clamp(figure, 0.0, kMostFigure))};
+    static constexpr double kMaxValue = 99'999'999;
+    static std::uint32_t hash_suffix(std::uint64_t server_hash) {
+        return static_cast<std::uint32_t>(server_hash & 0xfffff);
+    }
+    static PeerNote make(char type, std::uint64_t server_hash, double value) {
+        return {type, hash_suffix(server_hash),
+                static_cast<std::uint32_t>(std::clamp(value, 0.0, kMaxValue))};
     }
     std::string text() const {
         char out[32];
-        std::snprintf(out, sizeof out, "%c%05x%u", what, mark, figure);
+        std::snprintf(out, sizeof out, "%c%05x%u", type, server_hash, value);
         return out;
     }
-    // False for what is no such note.
-    static bool read(std::string_view text, PeerNote& note) {
+    // Returns false if the text is no valid note.
+    static bool parse(std::string_view text, PeerNote& note) {
         if (text.size() < 7) return false;
         const char *const middle = text.data() + 6, *const end = text.data() + text.size();
-        note.what = text[0];
-        const auto mark = std::from_chars(text.data() + 1, middle, note.mark, 16);
-        const auto figure = std::from_chars(middle, end, note.figure);
-        return mark.ec == std::errc{} && mark.ptr == middle && figure.ec == std::errc{} &&
-               figure.ptr == end && note.figure <= static_cast<std::uint32_t>(kMostFigure);
+        note.type = text[0];
+        const auto hash_end = std::from_chars(text.data() + 1, middle, note.server_hash, 16);
+        const auto value_end = std::from_chars(middle, end, note.value);
+        return hash_end.ec == std::errc{} && hash_end.ptr == middle && value_end.ec == std::errc{} &&
+               value_end.ptr == end && note.value <= static_cast<std::uint32_t>(kMaxValue);
     }
 };
 
--- a/src/core/load_estimates.cpp
+++ b/src/core/load_estimates.cpp
@@ -1,5 +1,5 @@
-// What a server has in hand: queued prompt tokens, free memory and cached prefixes, from load reports and
-// from what this gateway has sent.
+// Load of a server: queued prompt tokens, free memory and cached prefixes, from load reports and from what
+// this gateway has sent.
 #include <algorithm>
 #include <cmath>
 
@@ -8,128 +8,141 @@
 
 namespace copperfront {
 
-// A report may be asked for more often than it is made: the same figure again is the same report, and what
-// was sent before the last answer that still held the old one is in the new one at the earliest.
+// A server may be asked for its report more often than it makes one. The same figure again counts as the same
+// report. A new report includes at the earliest what was sent before the last answer that still carried the
+// old one.
 void Rules::note_report(ServerIndex s, const LoadReport& report) {
-    const auto take = [](double told, double& held, Learned& average, double& since, double& newer) {
-        if (told < 0) return;
-        if (told != held) since = newer;
-        held = told;
-        newer = 0;
-        learn(average, told, kLearnPool);
+    const auto take_figure = [](double figure, double& last_reported, ExponentialAverage& average,
+                                double& since_report, double& since_answer) {
+        if (figure < 0) return;
+        if (figure != last_reported) since_report = since_answer;
+        last_reported = figure;
+        since_answer = 0;
+        add_sample(average, figure, kRoleSampleWeight);
     };
-    // What the terms do not promise is left alone.
+    // Figures that the terms do not promise are ignored.
     const double memory = terms_.reports_memory ? report.memory_share : -1;
-    const double unread = terms_.reports_unread ? report.unread_thousands * 1000 : -1;
-    take(memory, reported_memory_[s], told_memory_[kind_[s]], sent_streams_[s], newer_streams_[s]);
-    take(unread, reported_unread_[s], told_unread_[kind_[s]], sent_unread_[s], newer_unread_[s]);
-    if (memory >= 0 || unread >= 0) told_at_[s] = now_;
-    memory_told_ |= memory >= 0 && writes(s);
+    const double queued = terms_.reports_unread ? report.unread_thousands * 1000 : -1;
+    take_figure(memory, reported_memory_[s], memory_by_kind_[kind_[s]], streams_since_report_[s],
+                streams_since_answer_[s]);
+    take_figure(queued, reported_queue_[s], queue_by_kind_[kind_[s]], queued_since_report_[s],
+                queued_since_answer_[s]);
+    if (memory >= 0 || queued >= 0) reported_at_[s] = now_;
+    memory_reported_ |= memory >= 0 && does_decode(s);
 }
 
-Rules::Texts Rules::texts_of(const Query& q) const {
-    return {sessions_.find(q.facts.session), beginnings_.find(q.facts.beginning)};
+Rules::CachedPrefixes Rules::cached_prefixes_of(const RoutedRequest& q) const {
+    return {session_prefixes_.find(q.info.session), shared_prefixes_.find(q.info.beginning)};
 }
 
-double Rules::expected_kept(const Query& q, const Texts& texts, ServerIndex s) const {
-    double kept = 0;
-    if (const KeptText* t = texts.session)
-        if (t->reader == s && t->life == life_[s]) kept = t->tokens;
-    if (const KeptText* t = texts.beginning)
-        if (t->reader == s && t->life == life_[s]) kept = std::max(kept, q.facts.beginning_tokens);
-    return std::min(kept, q.facts.prompt_tokens);
+double Rules::expected_cached_tokens(const RoutedRequest& q, const CachedPrefixes& prefixes,
+                                     ServerIndex s) const {
+    double cached = 0;
+    if (const CachedPrefix* entry = prefixes.session)
+        if (entry->server == s && entry->incarnation == incarnation_[s]) cached = entry->tokens;
+    if (const CachedPrefix* entry = prefixes.shared_prefix)
+        if (entry->server == s && entry->incarnation == incarnation_[s])
+            cached = std::max(cached, q.info.beginning_tokens);
+    return std::min(cached, q.info.prompt_tokens);
 }
 
-// The output estimate is the client's hint, or half of the most that it allows.
-double Rules::stream_estimate(const Query& q) const {
-    const Category& c = terms_.categories[q.facts.category];
+// The output estimate is the client's hint, or half of the request's upper limit.
+double Rules::estimated_stream_tokens(const RoutedRequest& q) const {
+    const Category& c = terms_.categories[q.info.category];
     const double answer =
-        q.facts.hint.us > 0 && c.token_gap.us > 0 ? q.facts.hint / c.token_gap : q.facts.most_tokens / 2;
-    return q.facts.prompt_tokens + answer;
+        q.info.hint.us > 0 && c.token_gap.us > 0 ? q.info.hint / c.token_gap : q.info.most_tokens / 2;
+    return q.info.prompt_tokens + answer;
 }
 
-// Servers not heard of count as the average of those heard of, of their kind: one for all would send
+// Servers without a report count as the average of their kind: one average for all kinds would send
 // everything to the kind with the largest memory. A report fades into that average as the streams that it
-// counted end, or gateways that hear of a server seldom would all trust what is long gone.
-double Rules::told(ServerIndex s, const std::vector<double>& figure,
-                   const std::vector<Learned>& average) const {
+// counted end; otherwise gateways that rarely hear from a server would all act on outdated figures.
+double Rules::reported_or_average(ServerIndex s, const std::vector<double>& reported,
+                                  const std::vector<ExponentialAverage>& average) const {
     const double mean = average[kind_[s]].mean;
-    return figure[s] < 0 ? mean : mean + (figure[s] - mean) * still_running(told_at_[s]);
+    return reported[s] < 0 ? mean : mean + (reported[s] - mean) * share_still_running(reported_at_[s]);
 }
 
-double Rules::still_running(Instant then) const {
-    const double usual = stream_time_.mean > 0 ? stream_time_.mean / 1000 : kRateWindowS;
-    return std::exp(-seconds(now_ - then) / usual);
+double Rules::share_still_running(Instant since) const {
+    const double stream_seconds = stream_time_.mean > 0 ? stream_time_.mean / 1000 : kRateWindowS;
+    return std::exp(-seconds(now_ - since) / stream_seconds);
 }
 
-// Streams sent since a report end too; else notes of peers alone would fill a server for good.
-void Rules::note_sent(ServerIndex s, double tokens) {
-    for (auto* sent : {&sent_streams_, &newer_streams_})
-        (*sent)[s] = (*sent)[s] * still_running(sent_at_[s]) + tokens;
+// Streams sent since the last report end too; otherwise notes of peers alone would mark a server as full for
+// good.
+void Rules::note_stream_sent(ServerIndex s, double tokens) {
+    for (auto* tokens_sent : {&streams_since_report_, &streams_since_answer_})
+        (*tokens_sent)[s] = (*tokens_sent)[s] * share_still_running(sent_at_[s]) + tokens;
     sent_at_[s] = now_;
 }
 
-double Rules::sent_since(ServerIndex s) const { return sent_streams_[s] * still_running(sent_at_[s]); }
+double Rules::stream_tokens_since_report(ServerIndex s) const {
+    return streams_since_report_[s] * share_still_running(sent_at_[s]);
+}
 
-double Rules::reader_load(ServerIndex s) const {
-    if (told_unread_[kind_[s]].samples == 0) return unread_[s];
-    // What of ours has been read waits no more, even if an idle reader's report stays the same.
-    return told(s, reported_unread_, told_unread_) + std::min(sent_unread_[s], unread_[s]);
+double Rules::queued_prompt_tokens(ServerIndex s) const {
+    if (queue_by_kind_[kind_[s]].samples == 0) return own_queued_tokens_[s];
+    // Own tokens whose prefill has ended wait no longer, even if an idle prefill server's report stays the
+    // same.
+    return reported_or_average(s, reported_queue_, queue_by_kind_) +
+           std::min(queued_since_report_[s], own_queued_tokens_[s]);
 }
 
-// A kind of which nothing was heard counts as empty, so that it is tried.
-double Rules::writer_room(ServerIndex s) const {
-    if (!memory_told_) return -streams_[s];
-    return (1 - told(s, reported_memory_, told_memory_)) * memory_[s] - sent_since(s);
+// A kind without any report counts as empty, so that it is tried.
+double Rules::decode_room(ServerIndex s) const {
+    if (!memory_reported_) return -own_stream_tokens_[s];
+    return (1 - reported_or_average(s, reported_memory_, memory_by_kind_)) * memory_tokens_[s] -
+           stream_tokens_since_report(s);
 }
 
-bool Rules::shows_room(ServerIndex s) const {
-    if (reported_memory_[s] >= 0 && memory_[s] > 0 &&
-        told(s, reported_memory_, told_memory_) + sent_since(s) / memory_[s] > kRoomShare)
+bool Rules::has_free_memory(ServerIndex s) const {
+    if (reported_memory_[s] >= 0 && memory_tokens_[s] > 0 &&
+        reported_or_average(s, reported_memory_, memory_by_kind_) +
+                stream_tokens_since_report(s) / memory_tokens_[s] >
+            kMaxMemoryShare)
         return false;
-    return now_ - full_at_[s] >= kFullFor;
+    return now_ - full_at_[s] >= kFullBackoff;
 }
 
-bool Rules::has_room(ServerIndex s) const { return is_open(s) && shows_room(s); }
+bool Rules::has_room(ServerIndex s) const { return is_available(s) && has_free_memory(s); }
 
-bool Rules::any_room(const Query& q) {
-    const bool any_server = !q.may_have_run || terms_.categories[q.facts.category].effect == Effect::pure;
-    if (!any_server) return look_for_room(q, ready_decode_);
-    // Reported loads fade with each moment.
-    const bool valid = !memory_told_ && servers_with_room_.is_valid(now_);
-    if (!valid) {
-        servers_with_room_.make(ready_decode_, [this](ServerIndex s) {
-            if (shut_until_[s] > now_) servers_with_room_.valid_until(shut_until_[s]);
-            if (full_at_[s] + kFullFor > now_) servers_with_room_.valid_until(full_at_[s] + kFullFor);
-            if (is_cold(s)) servers_with_room_.valid_until(born_[s] + terms_.warm_within);
+bool Rules::any_decode_room(const RoutedRequest& q) {
+    const bool runs_anywhere = !q.may_have_run || terms_.categories[q.info.category].effect == Effect::pure;
+    if (!runs_anywhere) return find_decode_room(q, ready_decode_);
+    // Reported loads fade continuously, so the subset is not reused with them.
+    const bool is_current = !memory_reported_ && servers_with_room_.is_valid(now_);
+    if (!is_current) {
+        servers_with_room_.rebuild(ready_decode_, [this](ServerIndex s) {
+            if (ejected_until_[s] > now_) servers_with_room_.valid_until(ejected_until_[s]);
+            if (full_at_[s] + kFullBackoff > now_) servers_with_room_.valid_until(full_at_[s] + kFullBackoff);
+            if (is_cold(s)) servers_with_room_.valid_until(started_at_[s] + terms_.warm_within);
             return has_room(s);
         });
     }
-    if (!valid || !room_is_of_all_) look_for_room(q, servers_with_room_.servers());
-    room_is_of_all_ = true;
+    if (!is_current || !room_holds_for_all_requests_) find_decode_room(q, servers_with_room_.servers());
+    room_holds_for_all_requests_ = true;
     return !servers_with_room_.empty();
 }
 
-// Notes in which cells and zones this request may find room.
-bool Rules::look_for_room(const Query& q, const std::vector<ServerIndex>& among) {
+// Records in which cells and zones this request may find room.
+bool Rules::find_decode_room(const RoutedRequest& q, const std::vector<ServerIndex>& servers) {
     cell_room_.assign(cells_.size(), false);
     zone_room_.assign(zones_.size(), false);
-    room_is_of_all_ = false;
+    room_holds_for_all_requests_ = false;
     bool any = false;
-    for (const ServerIndex s : among)
-        if (may_go(q, s) && has_room(s)) any = cell_room_[cell_[s]] = zone_room_[zone_[s]] = true;
+    for (const ServerIndex s : servers)
+        if (may_run_on(q, s) && has_room(s)) any = cell_room_[cell_[s]] = zone_room_[zone_[s]] = true;
     return any;
 }
 
-// Prefill servers that may be sent something: ready, not turned away from of late, and not over what a cold
-// one may take.
+// Prefill servers that may receive a request: ready, not recently full, and within their slow-start budget.
 const std::vector<ServerIndex>& Rules::prefill_candidates() {
     if (!prefill_candidates_.is_valid(now_)) {
-        prefill_candidates_.make(ready_prefill_, [this](ServerIndex s) {
-            const Instant full_until = full_at_[s] + kFullFor;
+        prefill_candidates_.rebuild(ready_prefill_, [this](ServerIndex s) {
+            const Instant full_until = full_at_[s] + kFullBackoff;
             if (full_until > now_) prefill_candidates_.valid_until(full_until);
-            if (is_cold(s)) prefill_candidates_.valid_until(born_[s] + terms_.warm_within);
-            return may_take(s) && full_until <= now_;
+            if (is_cold(s)) prefill_candidates_.valid_until(started_at_[s] + terms_.warm_within);
+            return may_receive(s) && full_until <= now_;
         });
     }
     return prefill_candidates_.servers();
@@ -137,35 +150,37 @@
 
 const std::vector<ServerIndex>& Rules::decode_candidates() {
     if (!decode_candidates_.is_valid(now_)) {
-        decode_candidates_.make(ready_decode_, [this](ServerIndex s) {
-            if (is_cold(s)) decode_candidates_.valid_until(born_[s] + terms_.warm_within);
-            return may_take(s);
+        decode_candidates_.rebuild(ready_decode_, [this](ServerIndex s) {
+            if (is_cold(s)) decode_candidates_.valid_until(started_at_[s] + terms_.warm_within);
+            return may_receive(s);
         });
     }
     return decode_candidates_.servers();
 }
 
-// What a read sent now would take, by what reads took of late for each token that this gateway had queued:
-// here, as far as that is fresh, else at the role as a whole. Both fade, or a jam that is over would last.
-// Where a reader's load is reported, it tells a jam by itself; single reports are off by far, so the pace is
-// that of all reads together.
-double Rules::pace_now(ServerIndex s, Span goal) const {
-    if (told_unread_[kind_[s]].samples > 0)
-        return read_tokens_.samples < kPaceSamples ? 0.0 : read_time_.mean / read_tokens_.mean;
-    const double usual = usual_pace(goal);
-    if (paced_[s] == 0 || !reads(s)) return usual;
-    return usual + (pace_[s] - usual) * std::exp((paced_at_[s] - now_) / goal / kFresh);
-}
-
-// Of the role as a whole. Many servers are compared for the same request.
-double Rules::usual_pace(Span goal) const {
-    if (paces_[1].samples == 0) return 0;
-    UsualPace& last = usual_pace_;
-    if (last.at != now_ || last.goal != goal || last.samples != paces_[1].samples) {
-        const double pace = std::exp(paces_[1].mean) * std::exp((peers_paced_at_ - now_) / goal / kFresh);
-        last = {now_, goal, paces_[1].samples, pace};
+// Expected prefill time per queued token, from recent prefills and the tokens that this gateway had queued:
+// at this server while that is fresh, otherwise over the whole role. Both fade; otherwise an overload that
+// has ended would still count. A server that reports its queue shows an overload by itself; single reports
+// are far off, so the pace is then that of all prefills together.
+double Rules::current_pace(ServerIndex s, Span goal) const {
+    if (queue_by_kind_[kind_[s]].samples > 0)
+        return tokens_per_prefill_.samples < kMinPaceSamples ? 0.0
+                                                             : prefill_time_.mean / tokens_per_prefill_.mean;
+    const double of_role = role_pace(goal);
+    if (pace_samples_[s] == 0 || !does_prefill(s)) return of_role;
+    return of_role + (pace_[s] - of_role) * std::exp((pace_measured_at_[s] - now_) / goal / kPaceFadeGoals);
+}
+
+// Pace of the whole role. The result is cached, as many servers are compared for the same request.
+double Rules::role_pace(Span goal) const {
+    if (role_log_paces_[1].samples == 0) return 0;
+    RolePace& cached = role_pace_;
+    if (cached.at != now_ || cached.goal != goal || cached.samples != role_log_paces_[1].samples) {
+        const double pace = std::exp(role_log_paces_[1].mean) *
+                            std::exp((role_pace_measured_at_ - now_) / goal / kPaceFadeGoals);
+        cached = {now_, goal, role_log_paces_[1].samples, pace};
     }
-    return last.pace;
+    return cached.pace;
 }
 
 }  // namespace copperfront
--- a/src/core/prefill_placement.cpp
+++ b/src/core/prefill_placement.cpp
@@ -1,5 +1,5 @@
-// Which prefill server reads a prompt: the one with the fewest queued tokens, or one that has the prefix
-// cached.
+// Choice of the prefill server for a prompt: the one with the fewest queued tokens, or one that has the
+// prefix cached.
 #include <algorithm>
 
 #include "rules.h"
@@ -7,185 +7,208 @@
 
 namespace copperfront {
 
-// Against texts that every gateway has read somewhere else: a text's home is drawn by a lot that falls alike
-// at all gateways, so that it is the likeliest to have read the text last. A beginning that many sessions
-// share has as many homes as its part of the traffic would keep busy, and the session tells which. The lot is
-// drawn by the part of a reader's work that is this zone's, or a zone with few readers would drown them.
-double Rules::lot(const Query& q, ServerIndex s) {
-    const std::uint64_t text = q.facts.beginning != 0 ? q.facts.beginning : q.facts.session;
-    const double drawn = text != 0 ? unit(mixed(text ^ mixed(mark_[s]))) : chance();
-    return arrival_at(drawn, reader_part(s));
+// Prefix-cache affinity by weighted rendezvous hashing: all gateways prefer the same server for a prefix, so
+// that server most likely prefilled it last. Without it every gateway would prefill the prefix somewhere
+// else. A prefix that many sessions share has as many preferred servers as its share of the traffic keeps
+// busy, and the session selects one of them. The weight is the share of the server's work that belongs to
+// this gateway's zone; otherwise a zone with few prefill servers would be overloaded.
+double Rules::affinity_score(const RoutedRequest& q, ServerIndex s) {
+    const std::uint64_t prefix = q.info.beginning != 0 ? q.info.beginning : q.info.session;
+    const double random = prefix != 0 ? unit(mixed(prefix ^ mixed(name_hash_[s]))) : random_unit();
+    return weighted_score(random, prefill_weight(s));
 }
 
-double Rules::part_of_reads(ServerIndex s) const {
-    const double wanted = 1.0 / static_cast<double>(zones_.size());
-    const Mix& cell = cells_[cell_[s]];
-    const double here = zones_[terms_.zone].reads, there = zones_[zone_[s]].reads;
-    if (there <= 0 || cell.readers <= 0) return kLeastPart;
-    const double own = cell.reads / cell.readers;
-    if (zone_[s] == terms_.zone) return std::max(kLeastPart, own * std::min(1.0, wanted / there));
-    const double over = std::max(0.0, wanted - here), spare = std::max(0.0, there - wanted);
-    return std::max(kLeastPart, spare_readers_ > 0 ? own * over * spare / spare_readers_ / there : 0.0);
+double Rules::compute_prefill_weight(ServerIndex s) const {
+    const double target = 1.0 / static_cast<double>(zones_.size());
+    const LocationShare& cell = cells_[cell_[s]];
+    const double own_zone = zones_[terms_.zone].prefill_work, its_zone = zones_[zone_[s]].prefill_work;
+    if (its_zone <= 0 || cell.prefill_share <= 0) return kMinWeight;
+    const double cell_weight = cell.prefill_work / cell.prefill_share;
+    if (zone_[s] == terms_.zone) return std::max(kMinWeight, cell_weight * std::min(1.0, target / its_zone));
+    const double excess = std::max(0.0, target - own_zone), spare = std::max(0.0, its_zone - target);
+    return std::max(kMinWeight,
+                    spare_prefill_ > 0 ? cell_weight * excess * spare / spare_prefill_ / its_zone : 0.0);
 }
 
-std::size_t Rules::home_place(const Query& q, double readers) const {
-    const double homes = std::max(1.0, q.part * readers * kHomesPart);
-    return q.facts.beginning == 0 ? 0 : static_cast<std::size_t>(unit(mixed(q.facts.session)) * homes);
+std::size_t Rules::preferred_rank(const RoutedRequest& q, double total_weight) const {
+    const double servers = std::max(1.0, q.prefix_share * total_weight * kPreferredPerBusyServer);
+    return q.info.beginning == 0 ? 0 : static_cast<std::size_t>(unit(mixed(q.info.session)) * servers);
 }
 
-// The candidates' lots, of those with at most this load.
-void Rules::gather_lots(const Query& q, double most_load) {
-    lots_.clear();
+// Scores the candidates with at most this load; the lowest score wins.
+void Rules::score_candidates(const RoutedRequest& q, double max_load) {
+    scores_.clear();
     for (const ServerIndex s : candidates_)
-        if (reader_load(s) <= most_load) lots_.emplace_back(lot(q, s), s);
+        if (queued_prompt_tokens(s) <= max_load) scores_.emplace_back(affinity_score(q, s), s);
 }
 
-// The candidate whose lot has the place that is this request's.
-ServerIndex Rules::home_of(const Query& q, double readers) {
-    const std::size_t place = std::min(candidates_.size() - 1, home_place(q, readers));
-    const std::uint64_t text = q.facts.beginning != 0 ? q.facts.beginning : q.facts.session;
-    // The lots up to that place, the greatest first. A lot is at least the number drawn over the part, which
-    // spares most of them.
-    lots_.clear();
+// The candidate whose score has this request's rank.
+ServerIndex Rules::preferred_server(const RoutedRequest& q, double total_weight) {
+    const std::size_t rank = std::min(candidates_.size() - 1, preferred_rank(q, total_weight));
+    const std::uint64_t prefix = q.info.beginning != 0 ? q.info.beginning : q.info.session;
+    // A max-heap of the lowest scores up to that rank. A score is at least random / weight, so most
+    // logarithms are skipped.
+    scores_.clear();
     for (const ServerIndex s : candidates_) {
-        const double drawn = unit(mixed(text ^ mixed(mark_[s]))), part = reader_part(s);
-        const bool full = lots_.size() > place;
-        if (full && drawn / part > lots_.front().first) continue;
-        lots_.emplace_back(arrival_at(drawn, part), s);
-        std::push_heap(lots_.begin(), lots_.end());
-        if (!full) continue;
-        std::pop_heap(lots_.begin(), lots_.end());
-        lots_.pop_back();
+        const double random = unit(mixed(prefix ^ mixed(name_hash_[s]))), weight = prefill_weight(s);
+        const bool is_full = scores_.size() > rank;
+        if (is_full && random / weight > scores_.front().first) continue;
+        scores_.emplace_back(weighted_score(random, weight), s);
+        std::push_heap(scores_.begin(), scores_.end());
+        if (!is_full) continue;
+        std::pop_heap(scores_.begin(), scores_.end());
+        scores_.pop_back();
     }
-    return lots_.front().second;
+    return scores_.front().second;
 }
 
-bool Rules::pick_reader(const Query& q, ServerIndex& best) {
-    const Texts texts = texts_of(q);
-    bool left = false;  // somebody to read who has not found himself shut out
-    // Prefill servers; mixed servers; also what this request has just found bad, and decode servers that read
-    // where nobody else is left; what is ejected.
+bool Rules::pick_prefill_server(const RoutedRequest& q, ServerIndex& best) {
+    const CachedPrefixes prefixes = cached_prefixes_of(q);
+    bool any_able = false;  // some server can prefill and is not ejected
+    // Pass 0: prefill servers. Pass 1: mixed servers. Pass 2: also servers that this request has just found
+    // failing, and decode servers that can prefill if no other server is able to. Pass 3: also ejected
+    // servers.
     for (const int pass : {0, 1, 2, 3}) {
-        bool any_ejected = false, of_other_role = false;
-        const auto fit = [&](ServerIndex s) {
-            const bool by_role = pass == 0   ? reads(s)
-                                 : pass == 1 ? role_[s] == Role::mixed
-                                             : role_[s] != Role::writer || (terms_.writers_read && !left);
-            of_other_role |= !by_role;
-            if (!by_role || !may_go(q, s) || !may_take(s)) return false;
-            if (pass < 3 && !is_open_to(q, s)) {
+        bool any_ejected = false, any_other_role = false;
+        const auto is_eligible = [&](ServerIndex s) {
+            const bool fits_role = pass == 0 ? does_prefill(s)
+                                   : pass == 1
+                                       ? role_[s] == Role::mixed
+                                       : role_[s] != Role::writer || (terms_.writers_read && !any_able);
+            any_other_role |= !fits_role;
+            if (!fits_role || !may_run_on(q, s) || !may_receive(s)) return false;
+            if (pass < 3 && !is_available_to(q, s)) {
                 any_ejected = true;
                 return false;
             }
-            if (now_ - full_at_[s] < kFullFor) return false;
-            return pass > 1 || !avoids(q, s);
+            if (now_ - full_at_[s] < kFullBackoff) return false;
+            return pass > 1 || !is_avoided(q, s);
         };
-        double least = kInfinite, readers = 0;
+        double least = kInfinite, total_weight = 0;
         candidates_.clear();
         const auto consider = [&](ServerIndex s) {
-            if (!fit(s)) return;
+            if (!is_eligible(s)) return;
             candidates_.push_back(s);
-            least = std::min(least, reader_load(s));
-            readers += reader_part(s);
+            least = std::min(least, queued_prompt_tokens(s));
+            total_weight += prefill_weight(s);
         };
-        if (pass >= 2 && terms_.writers_read && !left) {
-            looks_ += servers_;
-            for (ServerIndex s = 0; s < servers_; ++s) consider(s);
+        if (pass >= 2 && terms_.writers_read && !any_able) {
+            server_checks_ += server_count_;
+            for (ServerIndex s = 0; s < server_count_; ++s) consider(s);
         } else {
-            const std::vector<ServerIndex>& able = prefill_candidates();
-            looks_ += able.size();
-            for (const ServerIndex s : able) consider(s);
+            const std::vector<ServerIndex>& candidates = prefill_candidates();
+            server_checks_ += candidates.size();
+            for (const ServerIndex s : candidates) consider(s);
         }
         if (candidates_.empty()) continue;
-        left = true;
-        double home_end = kInfinite, home_own = 0;
-        const double typical = prompt_.mean;
-        const auto keeps_to = [&](ServerIndex s, double kept) {
-            const double margin = kKeptMargin * typical + kScatter * told_unread_[kind_[s]].spread;
-            return reader_load(s) <= least + margin && !read_late(q, kept, s);
+        any_able = true;
+        double preferred_load = kInfinite, preferred_uncached = 0;
+        const double typical_prompt = prompt_length_.mean;
+        const auto keeps_affinity = [&](ServerIndex s, double cached) {
+            const double margin = kAffinityMarginPrompts * typical_prompt +
+                                  kReportDeviations * queue_by_kind_[kind_[s]].deviation;
+            return queued_prompt_tokens(s) <= least + margin && !is_prefill_late(q, cached, s);
         };
-        if (const KeptText* t = texts.session; t && t->life == life_[t->reader] && fit(t->reader)) {
-            best = t->reader;
-            if (keeps_to(best, expected_kept(q, texts, best)))
-                return tell(q, best, true, "it kept the session's text");
+        if (const CachedPrefix* entry = prefixes.session;
+            entry && entry->incarnation == incarnation_[entry->server] && is_eligible(entry->server)) {
+            best = entry->server;
+            if (keeps_affinity(best, expected_cached_tokens(q, prefixes, best)))
+                return trace_choice(q, best, true, "it kept the session's text");
         }
-        if (q.facts.beginning != 0 || q.facts.session != 0) {
-            best = home_of(q, readers);
-            // A text never met here is likely to lie at its home all the same, above all after a restart.
-            const double usual = kept_share_.mean * q.facts.beginning_tokens;
-            const double kept = texts.beginning ? expected_kept(q, texts, best) : usual;
-            if (keeps_to(best, kept)) return tell(q, best, true, "it is the home of its text");
-            home_own = q.facts.prompt_tokens - kept;
-            home_end = reader_load(best);
+        if (q.info.beginning != 0 || q.info.session != 0) {
+            best = preferred_server(q, total_weight);
+            // A prefix that is new to this gateway is likely to be cached at its preferred server all the
+            // same, above all after a restart of the gateway.
+            const double usual_cached = cached_share_.mean * q.info.beginning_tokens;
+            const double cached =
+                prefixes.shared_prefix ? expected_cached_tokens(q, prefixes, best) : usual_cached;
+            if (keeps_affinity(best, cached))
+                return trace_choice(q, best, true, "it is the home of its text");
+            preferred_uncached = q.info.prompt_tokens - cached;
+            preferred_load = queued_prompt_tokens(best);
         }
-        // Against jams that feed on themselves: a text that is read anew elsewhere costs more than it saves
-        // where the home's queue is not longer by far more than that.
+        // Prevents self-reinforcing overload: prefilling a cached prefix again elsewhere costs more than it
+        // saves unless the preferred server's queue is longer by much more than that.
         std::erase_if(candidates_, [&](ServerIndex s) {
-            const double kept = expected_kept(q, texts, s), more = q.facts.prompt_tokens - kept - home_own;
-            return reader_load(s) + kLeaveCost * more > home_end || read_late(q, kept, s);
+            const double cached = expected_cached_tokens(q, prefixes, s),
+                         extra = q.info.prompt_tokens - cached - preferred_uncached;
+            return queued_prompt_tokens(s) + kAffinityLeaveFactor * extra > preferred_load ||
+                   is_prefill_late(q, cached, s);
         });
         if (candidates_.empty()) {
-            // The passes that follow would look at the same servers again.
-            if (pass == 0 && !any_ejected && !of_other_role && q.avoid.empty()) return false;
+            // The passes that follow would examine the same servers again.
+            if (pass == 0 && !any_ejected && !any_other_role && q.avoided_servers.empty()) return false;
             continue;
         }
         least = kInfinite;
-        for (const ServerIndex s : candidates_) least = std::min(least, reader_load(s));
-        gather_lots(q, least + kReaderTie * typical);
-        best = std::min_element(lots_.begin(), lots_.end())->second;
-        return tell(q, best, true, pass < 2 ? "fewest queued prompt tokens" : "all others are shut out");
+        for (const ServerIndex s : candidates_) least = std::min(least, queued_prompt_tokens(s));
+        score_candidates(q, least + kPrefillTiePrompts * typical_prompt);
+        best = std::min_element(scores_.begin(), scores_.end())->second;
+        return trace_choice(q, best, true,
+                            pass < 2 ? "fewest queued prompt tokens" : "all others are shut out");
     }
     return false;
 }
 
-// Against jams: a read that would end past the latency goal, or the client's patience, only makes those
-// behind it late as well. What was kept passes more easily, as it costs the jam least for the same gain. A
-// long prompt counts as a typical one where nothing of ours is out, or it would never pass.
-bool Rules::read_late(const Query& q, double kept, ServerIndex s) const {
-    const double pace = pace_now(s, q.goal - q.came);
-    const double share = kept / std::max(1.0, q.facts.prompt_tokens);
-    const double fill = kFillGoal * (kFillUnkept + (1 - kFillUnkept) * share);
-    const double own = q.facts.prompt_tokens - kept;
-    const double tokens = reader_load(s) + (waiting_[s] > 0 ? own : std::min(own, 2 * prompt_.mean));
-    const Span read = kMs * (pace * (tokens + kLeastRead * prompt_.mean)), useful = of_use_until(q) - q.came;
-    return now_ + read > q.came + useful * fill || link_late(q, s, read);
+// Whether a prefill would end past the latency goal or the client's deadline. Under overload such a prefill
+// only makes those behind it late as well. Prompts with a cached prefix pass more easily, as they cost the
+// least for the same gain. Without own attempts at the server, a long prompt counts as a typical one, or it
+// would never pass.
+bool Rules::is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const {
+    const double pace = current_pace(s, q.goal_deadline - q.arrived_at);
+    const double cached_share = cached / std::max(1.0, q.info.prompt_tokens);
+    const double goal_share =
+        kPrefillGoalShare * (kUncachedGoalShare + (1 - kUncachedGoalShare) * cached_share);
+    const double uncached = q.info.prompt_tokens - cached;
+    const double tokens =
+        queued_prompt_tokens(s) +
+        (unanswered_attempts_[s] > 0 ? uncached : std::min(uncached, 2 * prompt_length_.mean));
+    const Span prefill_time = kMs * (pace * (tokens + kMinPrefillPrompts * prompt_length_.mean)),
+               useful_time = useful_until(q) - q.arrived_at;
+    return now_ + prefill_time > q.arrived_at + useful_time * goal_share ||
+           is_transfer_late(q, s, prefill_time);
 }
 
-// What is read there would wait for a jammed link: it is held before its read, as for writers.
-bool Rules::link_late(const Query& q, ServerIndex s, Span read) const {
-    if (!reads(s) || cell_room_[cell_[s]]) return false;
-    return now_ + read + kMs * hand_over_time(zone_room_[zone_[s]] ? 1 : 2) > of_use_until(q);
+// Whether the state would wait for a congested link. The request then waits before its prefill, as it does
+// for decode servers.
+bool Rules::is_transfer_late(const RoutedRequest& q, ServerIndex s, Span prefill_time) const {
+    if (!does_prefill(s) || cell_room_[cell_[s]]) return false;
+    return now_ + prefill_time + kMs * hand_over_time(zone_room_[zone_[s]] ? 1 : 2) > useful_until(q);
 }
 
-// Reports that come with the answers of a gateway that is sent little are mostly old. A probe waits in a
-// reader's queue, so one that answers at once has none: the text's home is asked, and the next by its lot.
-void Rules::ask_readers(Query& q) {
-    if (!terms_.probes || !terms_.reports_unread || probes_due_ < 2 || !any_room(q)) return;
-    lots_.clear();
-    double readers = 0;
-    for (ServerIndex s = 0; s < servers_; ++s) {
-        if (!reads(s) || !is_open_to(q, s) || avoids(q, s) || now_ - full_at_[s] < kFullFor) continue;
-        if (link_late(q, s, {})) continue;
-        lots_.emplace_back(lot(q, s), s);
-        readers += reader_part(s);
+// Reports that come with answers are mostly old at a gateway with few requests. A probe waits in a prefill
+// server's queue, so a server that answers one at once has no queue. The preferred server is probed, and the
+// next one by score.
+void Rules::probe_preferred_servers(RoutedRequest& q) {
+    if (!terms_.probes || !terms_.reports_unread || probe_credit_ < 2 || !any_decode_room(q)) return;
+    scores_.clear();
+    double total_weight = 0;
+    for (ServerIndex s = 0; s < server_count_; ++s) {
+        if (!does_prefill(s) || !is_available_to(q, s) || is_avoided(q, s) ||
+            now_ - full_at_[s] < kFullBackoff)
+            continue;
+        if (is_transfer_late(q, s, {})) continue;
+        scores_.emplace_back(affinity_score(q, s), s);
+        total_weight += prefill_weight(s);
     }
-    if (lots_.size() < 2) return;
-    std::sort(lots_.begin(), lots_.end());
-    const std::size_t place = home_place(q, readers);
-    q.asked = {lots_[place % lots_.size()].second, lots_[(place + 1) % lots_.size()].second};
-    if (const KeptText* t = texts_of(q).session; t && t->life == life_[t->reader] && reads(t->reader) &&
-                                                 is_open_to(q, t->reader) && !avoids(q, t->reader)) {
-        if (q.asked[1] == t->reader) q.asked[1] = q.asked[0];
-        q.asked[0] = t->reader;
+    if (scores_.size() < 2) return;
+    std::sort(scores_.begin(), scores_.end());
+    const std::size_t rank = preferred_rank(q, total_weight);
+    q.probed_servers = {scores_[rank % scores_.size()].second, scores_[(rank + 1) % scores_.size()].second};
+    if (const CachedPrefix* entry = cached_prefixes_of(q).session;
+        entry && entry->incarnation == incarnation_[entry->server] && does_prefill(entry->server) &&
+        is_available_to(q, entry->server) && !is_avoided(q, entry->server)) {
+        if (q.probed_servers[1] == entry->server) q.probed_servers[1] = q.probed_servers[0];
+        q.probed_servers[0] = entry->server;
     }
-    q.ask_until = q.came + (q.goal - q.came) * kAskPart;
-    for (const ServerIndex s : q.asked) probe(s);
-    wake_soon(terms_.quantum);
+    q.probe_deadline = q.arrived_at + (q.goal_deadline - q.arrived_at) * kProbeGoalShare;
+    for (const ServerIndex s : q.probed_servers) probe(s);
+    schedule_sweep(terms_.quantum);
 }
 
-bool Rules::answers_at_once(const Query& q, ServerIndex s) const {
-    return answered_at_[s] >= q.came && answer_took_[s] <= q.ask_until - q.came && is_open_to(q, s) &&
-           may_go(q, s);
+bool Rules::answered_probe_quickly(const RoutedRequest& q, ServerIndex s) const {
+    return probe_answered_at_[s] >= q.arrived_at && probe_duration_[s] <= q.probe_deadline - q.arrived_at &&
+           is_available_to(q, s) && may_run_on(q, s);
 }
 
 }  // namespace copperfront
--- a/src/core/probes.cpp
+++ b/src/core/probes.cpp
@@ -6,59 +6,64 @@
 
 namespace copperfront {
 
-void Rules::tell_peers(char what, ServerIndex s, double figure) {
+void Rules::notify_peers(char type, ServerIndex s, double value) {
     if (!terms_.peers) return;
-    host_.tell_peers(PeerNote::of(what, mark_[s], figure).text());
+    host_.tell_peers(PeerNote::make(type, name_hash_[s], value).text());
 }
 
-// What other gateways send counts like what this one does: reports are older.
+// Streams that other gateways send count like this gateway's own: load reports are older.
 void Rules::peer_told(std::string_view text) {
     now_ = host_.now();
     PeerNote note;
-    if (!terms_.peers || !PeerNote::read(text, note)) return;
+    if (!terms_.peers || !PeerNote::parse(text, note)) return;
     ServerIndex s = 0;
-    while (s < servers_ && PeerNote::end_of(mark_[s]) != note.mark) ++s;
-    if (s == servers_) return;
-    if (note.what == 'w') {
-        note_sent(s, std::clamp(memory_[s] - sent_since(s), 0.0, note.figure * kFigureTold));
-    } else if (note.figure < mutes_.size()) {
-        if (note.what == 'u') unanswered(static_cast<std::uint16_t>(note.figure), s, false);
-        if (note.what == 'a') mutes_[note.figure][s].until = now_;
+    while (s < server_count_ && PeerNote::hash_suffix(name_hash_[s]) != note.server_hash) ++s;
+    if (s == server_count_) return;
+    if (note.type == 'w') {
+        note_stream_sent(s, std::clamp(memory_tokens_[s] - stream_tokens_since_report(s), 0.0,
+                                       note.value * kTokensPerNoteUnit));
+    } else if (note.value < suspensions_.size()) {
+        if (note.type == 'u') suspend_category(static_cast<std::uint16_t>(note.value), s, false);
+        if (note.type == 'a') suspensions_[note.value][s].until = now_;
     }
 }
 
-// What a gateway knows is not to thin out as gateways or servers grow in number.
-void Rules::pay_probes() {
-    const double earned = terms_.probe_fee > 0 ? kProbeSpend / terms_.probe_fee : kProbesMost;
-    probes_due_ = std::min(probes_due_ + std::min(kProbesMost, earned), 2 * kProbesMost);
+// Credit is earned per request, so that what a gateway knows of load does not thin out as gateways or servers
+// grow in number.
+void Rules::earn_probe_credit() {
+    const double earned =
+        terms_.probe_fee > 0 ? kProbeSpendPerRequest / terms_.probe_fee : kMaxProbesPerRequest;
+    probe_credit_ =
+        std::min(probe_credit_ + std::min(kMaxProbesPerRequest, earned), 2 * kMaxProbesPerRequest);
 }
 
 void Rules::probe(ServerIndex s) {
     host_.probe(s);
-    told_at_[s] = probed_at_[s] = now_;
-    probes_due_ -= 1;
+    reported_at_[s] = probed_at_[s] = now_;
+    probe_credit_ -= 1;
 }
 
-// Where load is told by probes alone, what is left goes to those not heard of for longest.
-void Rules::probe_some() {
-    while (terms_.probes && terms_.reports_by_probe && probes_due_ >= 1) {
-        auto chosen = static_cast<ServerIndex>(servers_);
-        for (ServerIndex s = 0; s < servers_; ++s)
-            if (ready(s) && ((terms_.reports_memory && writes(s)) || (terms_.reports_unread && reads(s))))
-                if (chosen == servers_ || told_at_[s] < told_at_[chosen]) chosen = s;
-        if (chosen == servers_ || told_at_[chosen] >= now_) return;
-        probe(chosen);
+// Where only probes report load, the remaining credit goes to the servers with the oldest reports.
+void Rules::probe_stalest() {
+    while (terms_.probes && terms_.reports_by_probe && probe_credit_ >= 1) {
+        auto stalest = static_cast<ServerIndex>(server_count_);
+        for (ServerIndex s = 0; s < server_count_; ++s)
+            if (is_ready(s) &&
+                ((terms_.reports_memory && does_decode(s)) || (terms_.reports_unread && does_prefill(s))))
+                if (stalest == server_count_ || reported_at_[s] < reported_at_[stalest]) stalest = s;
+        if (stalest == server_count_ || reported_at_[stalest] >= now_) return;
+        probe(stalest);
     }
 }
 
 void Rules::probe_answered(ServerIndex s, bool answered, const LoadReport& report) {
     now_ = host_.now();
     if (answered) {
-        answered_at_[s] = heard_at_[s] = now_;
-        answer_took_[s] = now_ - probed_at_[s];
+        probe_answered_at_[s] = last_heard_at_[s] = now_;
+        probe_duration_[s] = now_ - probed_at_[s];
         note_report(s, report);
     }
-    serve_lines();
+    serve_queues();
 }
 
 }  // namespace copperfront
--- a/src/core/retries.cpp
+++ b/src/core/retries.cpp
@@ -6,113 +6,118 @@
 
 namespace copperfront {
 
-// The time in which what may have run may still be sent again: never what runs only once; while its repeat is
-// known what is receipted, less what a connection may take. The host keeps to it too, whenever it comes up.
-Span Rules::repeat_left(const Query& q) const {
-    const Category& c = terms_.categories[q.facts.category];
-    if (!q.may_have_run || c.effect == Effect::pure) return q.hard_stop - now_;
-    const Span known = q.ran_since + c.window - terms_.connect_within - now_;
-    return c.effect == Effect::effectful ? Span{} : known;
+// Time left in which a request that may have run can be sent again. Effectful requests: none. Receipted ones:
+// while servers remember the request, less what a connection may take to be made. The host enforces the limit
+// as well, whenever the connection is made.
+Span Rules::repeat_time_left(const RoutedRequest& q) const {
+    const Category& c = terms_.categories[q.info.category];
+    if (!q.may_have_run || c.effect == Effect::pure) return q.deadline - now_;
+    const Span left = q.ran_since + c.window - terms_.connect_within - now_;
+    return c.effect == Effect::effectful ? Span{} : left;
 }
 
-// Receipted queries that may have run stay within the servers that drop their repeat.
-bool Rules::may_go(const Query& q, ServerIndex s) const {
-    const Category& c = terms_.categories[q.facts.category];
+// Receipted requests that may have run stay within the servers that drop their repeat.
+bool Rules::may_run_on(const RoutedRequest& q, ServerIndex s) const {
+    const Category& c = terms_.categories[q.info.category];
     if (!q.may_have_run || c.effect == Effect::pure) return true;
-    if (repeat_left(q).us <= 0) return false;
+    if (repeat_time_left(q).us <= 0) return false;
     if (c.group == Group::zone) return zone_[s] == q.ran_zone;
     return c.group == Group::all || cell_[s] == q.ran_cell;
 }
 
-// The read has ended, so the state goes to the writer with the most free memory now.
+// The prefill has ended, so the state goes to the decode server with the most free memory now.
 void Rules::hand_over(QueryIndex i) {
-    Query& q = queries_[i];
-    if (standing_[q.state_at] == Standing::gone || life_[q.state_at] != q.state_life || is_overdue(q) ||
-        repeat_left(q).us <= 0 || q.attempts >= most_attempts(q)) {
-        let_go(i);
+    RoutedRequest& q = requests_[i];
+    if (status_[q.state_server] == Standing::gone || incarnation_[q.state_server] != q.state_incarnation ||
+        is_overdue(q) || repeat_time_left(q).us <= 0 || q.attempts >= attempt_limit(q)) {
+        release_state(i);
         return retry_or_end(i);
     }
     ServerIndex s = 0;
-    if (pick_writer(q, s)) return send(i, s, false);
-    park(i);
+    if (pick_decode_server(q, s)) return send(i, s, false);
+    wait_for_decode(i);
 }
 
-void Rules::let_go(QueryIndex i) {
+void Rules::release_state(QueryIndex i) {
     host_.release(i);
-    queries_[i].has_state = false;
+    requests_[i].has_state = false;
 }
 
-void Rules::park(QueryIndex i) {
-    Query& q = queries_[i];
-    q.stage = Stage::parked;
+void Rules::wait_for_decode(QueryIndex i) {
+    RoutedRequest& q = requests_[i];
+    q.stage = Stage::waiting_for_decode;
     host_.held(i, "no writer can take its state");
-    parked_.emplace_back(i, q.serial);
-    wake_soon(terms_.release_within * 0.25);
+    waiting_for_decode_.emplace_back(i, q.serial);
+    schedule_sweep(terms_.release_within * 0.25);
 }
 
-// A state may wait only as long as the rule on held states allows, less a margin for what never connects.
-bool Rules::is_overdue(const Query& q) const {
-    const Span own = q.facts.hand_over_within, rule = terms_.release_within * 0.6;
-    return now_ - q.parked_since >= (own.us > 0 ? std::min(own, rule) : rule);
+// A state may wait only as long as the terms allow it to be held, less a margin for hand-overs that never
+// connect.
+bool Rules::is_overdue(const RoutedRequest& q) const {
+    const Span limit = q.info.hand_over_within, allowed = terms_.release_within * 0.6;
+    return now_ - q.waiting_since >= (limit.us > 0 ? std::min(limit, allowed) : allowed);
 }
 
-void Rules::serve_parked() {
-    for (std::size_t n = parked_.size(); n > 0; --n) {
-        const auto [i, serial] = parked_.front();
-        parked_.pop_front();
-        Query& q = queries_[i];
-        if (q.serial != serial || q.stage != Stage::parked) continue;
+void Rules::serve_waiting_for_decode() {
+    for (std::size_t n = waiting_for_decode_.size(); n > 0; --n) {
+        const auto [i, serial] = waiting_for_decode_.front();
+        waiting_for_decode_.pop_front();
+        RoutedRequest& q = requests_[i];
+        if (q.serial != serial || q.stage != Stage::waiting_for_decode) continue;
         ServerIndex s = 0;
-        const bool spent = q.attempts >= most_attempts(q);
-        if (!spent && (now_ - q.parked_since >= terms_.release_within * 0.4 || any_room(q)) &&
-            pick_writer(q, s)) {
+        const bool is_exhausted = q.attempts >= attempt_limit(q);
+        if (!is_exhausted && (now_ - q.waiting_since >= terms_.release_within * 0.4 || any_decode_room(q)) &&
+            pick_decode_server(q, s)) {
             send(i, s, false);
-        } else if (is_overdue(q) || spent) {
-            let_go(i);
+        } else if (is_overdue(q) || is_exhausted) {
+            release_state(i);
             retry_or_end(i);
         } else {
-            parked_.emplace_back(i, serial);
+            waiting_for_decode_.emplace_back(i, serial);
         }
     }
-    if (!parked_.empty()) wake_soon(kMs * 20);
+    if (!waiting_for_decode_.empty()) schedule_sweep(kMs * 20);
 }
 
-// A query may come with tighter limits, and each further attempt is taken out of a budget of its own.
-std::uint32_t Rules::most_attempts(const Query& q) const {
-    const std::uint32_t own = q.facts.most_attempts;
-    return own > 0 ? std::min(own, terms_.max_attempts) : terms_.max_attempts;
+// A request may have a tighter limit of its own, and each further attempt is charged to its retry budget.
+std::uint32_t Rules::attempt_limit(const RoutedRequest& q) const {
+    const std::uint32_t limit = q.info.most_attempts;
+    return limit > 0 ? std::min(limit, terms_.max_attempts) : terms_.max_attempts;
 }
 
 void Rules::retry_or_end(QueryIndex i) {
-    Query& q = queries_[i];
-    // A read without an attempt left to hand it over would only be waste.
-    const char* why = q.may_have_run && repeat_left(q).us <= 0 ? "it may have run"
-                      : q.attempts + 2 > most_attempts(q)      ? "it has no launch left"
-                      : now_ + terms_.quantum >= q.hard_stop   ? "it has no time left"
-                      : !host_.may_attempt_again(i, q.last)    ? "its route has no further launch left"
-                                                               : nullptr;
-    if (!why) return stand_again(i);
+    RoutedRequest& q = requests_[i];
+    // A prefill without an attempt left for its hand-over would be wasted.
+    const char* why = q.may_have_run && repeat_time_left(q).us <= 0 ? "it may have run"
+                      : q.attempts + 2 > attempt_limit(q)           ? "it has no launch left"
+                      : now_ + terms_.quantum >= q.deadline         ? "it has no time left"
+                      : !host_.may_attempt_again(i, q.last_ending)  ? "its route has no further launch left"
+                                                                    : nullptr;
+    if (!why) return requeue(i);
     host_.ends(i, why);
-    end(i, terms_.max_stay_away * 0.25);
+    end_request(i, terms_.max_stay_away * 0.25);
 }
 
-// The final answer, at once. A decline says that trying again is harmless, for as long as a try may take.
-void Rules::end(QueryIndex i, Span stay_away) {
-    Query& q = queries_[i];
-    const Category& c = terms_.categories[q.facts.category];
-    if (q.out && q.stage == Stage::writing && q.has_state) note_hand_over(q, now_ - q.sent);
-    const bool harmless = (!q.may_have_run && !q.out) || c.effect == Effect::pure ||
-                          (c.group == Group::all && repeat_left(q) >= q.facts.budget + terms_.max_stay_away);
-    harmless ? host_.decline(i, stay_away) : host_.give_up(i);
-    over(i);
+// Gives the final answer at once. A rejection tells the client that sending the request again is harmless,
+// for as long as a further attempt of the client may take.
+void Rules::end_request(QueryIndex i, Span stay_away) {
+    RoutedRequest& q = requests_[i];
+    const Category& c = terms_.categories[q.info.category];
+    if (q.in_flight && q.stage == Stage::decoding && q.has_state) note_hand_over(q, now_ - q.sent_at);
+    const bool is_repeatable =
+        (!q.may_have_run && !q.in_flight) || c.effect == Effect::pure ||
+        (c.group == Group::all && repeat_time_left(q) >= q.info.budget + terms_.max_stay_away);
+    is_repeatable ? host_.decline(i, stay_away) : host_.give_up(i);
+    finish(i);
 }
 
-// No answer lets go of a state, so every end does; what an attempt still out brings back is let go then.
-void Rules::over(QueryIndex i) {
-    Query& q = queries_[i];
-    if (q.out && terms_.cancel && q.stage != Stage::streaming) host_.retract(i, q.attempts - 1);
-    q.stage = Stage::over;
-    let_go(i);
+// No answer releases a state, so the end of every request does; a state that an attempt still in flight
+// brings back is released then.
+void Rules::finish(QueryIndex i) {
+    RoutedRequest& q = requests_[i];
+    if (q.in_flight && terms_.cancel && q.stage != Stage::streaming) host_.retract(i, q.attempts - 1);
+    q.stage = Stage::finished;
+    release_state(i);
 }
 
 }  // namespace copperfront
--- a/src/core/rules.h
+++ b/src/core/rules.h
@@ -1,4 +1,5 @@
-// The decisions of one gateway. Each method is one thing that can happen; it acts through the Host.
+// The router of one gateway: admission, placement, retries, server health and slow start. Each public method
+// handles one event; the router acts through the Host interface.
 #pragma once
 
 #include <array>
@@ -18,309 +19,336 @@
 
 namespace copperfront {
 
+// What the server list says of a server.
 enum class Standing { ready, draining, gone };
 
+// One entry of the server list.
 struct Listing {
     ServerIndex server = 0;
     std::uint16_t kind = 0;
     std::uint16_t zone = 0;
-    std::uint32_t cell = 0;  // dense
-    Instant born;            // 0: long ago
+    std::uint32_t cell = 0;  // cells are numbered densely from 0
+    Instant born;            // start of the server process; 0: long ago
     Standing standing = Standing::ready;
-    std::uint64_t mark = 0;  // alike at all gateways; tells nothing of the server
+    std::uint64_t mark = 0;  // hash of the server's name, the same at all gateways and otherwise arbitrary
 };
 
+// What the router knows about a request when it arrives.
 struct Arrival {
     std::uint16_t category = 0;
     std::int32_t client_group = -1;  // -1: none
     std::uint64_t session = 0;       // 0: none
-    std::uint64_t beginning = 0;     // shared with other sessions; 0: none
+    std::uint64_t beginning = 0;     // hash of a prompt prefix that other sessions share; 0: none
     double prompt_tokens = 0;
     double beginning_tokens = 0;
-    double most_tokens = 0;   // upper limit of the answer
-    Span hint;                // rough length of the answer; 0: none
-    Span budget;              // until the client stops waiting for this try
-    std::int32_t avoid = -1;  // a server that it is not to go to first; -1: none
-    // Limits of its own; 0: none but those of the terms.
+    double most_tokens = 0;   // upper limit of the output
+    Span hint;                // rough duration of the answer; 0: none
+    Span budget;              // until the client stops waiting; it may send the request again after that
+    std::int32_t avoid = -1;  // server that the first attempt avoids; -1: none
+    // The request's own limits; 0: only those of the terms apply.
     std::uint32_t most_attempts = 0;
     Span read_within, hand_over_within, first_token_within;
 };
 
+// Load of a server as it reports it, with answers or to probes.
 struct LoadReport {
     double memory_share = -1;  // -1: not in the report
     double unread_thousands = -1;
 };
 
+// How an attempt ended.
 struct Outcome {
     Ending ending = Ending::error;
     Span took;
     double kept_tokens = 0;
     bool no_state = false;
-    bool over = false;  // the query has had its final answer
-    // Broken, on a connection kept from an earlier attempt, before anything came back on it: that tells of
-    // the connection, not of the server, and it is likely that the server never saw the attempt.
+    bool over = false;  // the request has had its final answer
+    // The attempt failed on a connection reused from an earlier attempt, before any byte of the answer. That
+    // says something about the connection, not the server, which most likely never saw the attempt.
     bool stale = false;
-    // Broken by this gateway's own close, which has yet to reach the server.
+    // The attempt failed because this gateway closed the connection; the server has not seen the close yet.
     bool closed_here = false;
     LoadReport report;
 };
 
-enum class Stage { idle, first_line, further_line, reading, parked, writing, streaming, over };
+// Where a request is on its way through the gateway.
+enum class Stage {
+    idle,
+    queued,
+    queued_for_retry,
+    prefilling,
+    waiting_for_decode,
+    decoding,
+    streaming,
+    finished
+};
 
-struct Query {
-    Arrival facts;
+// State of a request between its arrival and its final answer. A server's incarnation counts the processes
+// that have served under its index.
+struct RoutedRequest {
+    Arrival info;
     Stage stage = Stage::idle;
-    std::uint32_t serial = 0;
-    Instant came, goal, hard_stop;
-    Instant ask_until;  // asked readers may answer until then
-    std::array<ServerIndex, 2> asked{};
+    std::uint32_t serial = 0;  // tells apart requests with the same index
+    Instant arrived_at, goal_deadline, deadline;
+    Instant probe_deadline;  // probed prefill servers may answer until then
+    std::array<ServerIndex, 2> probed_servers{};
     std::uint32_t attempts = 0;
-    ServerIndex server = 0;  // of the attempt that is out
-    std::uint32_t server_life = 0;
-    bool out = false;
-    bool at_reader = false;
-    bool called_off = false, begun = false;
+    ServerIndex server = 0;  // of the attempt in flight
+    std::uint32_t server_incarnation = 0;
+    bool in_flight = false;
+    bool at_prefill_server = false;
+    bool cancelled = false, has_first_token = false;
     bool has_state = false;
-    ServerIndex state_at = 0;
-    std::uint32_t state_life = 0;
-    Instant parked_since, sent;
-    double read_tokens = 0, stream_tokens = 0, queued_tokens = 0;
-    double part = 0;  // of the traffic that begins like it, as met here
-    std::vector<ServerIndex> avoid;
-    Ending last = Ending::read;  // of the attempt before
+    ServerIndex state_server = 0;
+    std::uint32_t state_incarnation = 0;
+    Instant waiting_since, sent_at;
+    double prefill_tokens = 0, stream_tokens = 0, queued_tokens = 0;
+    double prefix_share = 0;  // estimated share of requests with this request's shared prefix
+    std::vector<ServerIndex> avoided_servers;
+    Ending last_ending = Ending::read;  // of the previous attempt
     bool answer_lost = false;
     bool may_have_run = false;
-    // Of the earliest attempt that may have run, or else of the newest one. Not its index, which may name
-    // another server by then.
+    // Location of the server of the earliest attempt that may have run, or else of the newest attempt. The
+    // server's index is not kept, as it may name another server by then.
     std::uint16_t ran_zone = 0;
     std::uint32_t ran_cell = 0;
     Instant ran_since;
 };
 
-struct KeptText {
-    ServerIndex reader = 0;
-    std::uint32_t life = 0;
+// A prompt, or the shared prefix of one, that a server process is expected to have in its prefix cache.
+struct CachedPrefix {
+    ServerIndex server = 0;
+    std::uint32_t incarnation = 0;
     double tokens = 0;
 };
 
-// A category that a server leaves unanswered: not sent there until then, and what was sent since then tells.
-struct Mute {
+// A category that a server has left unanswered. The server gets none of it until `until`; only answers to
+// attempts sent from `since` on count. This is a circuit breaker for one server and category, with
+// exponential backoff.
+struct CategorySuspension {
     Instant until, since;
-    Span held;  // 0: it is answered
+    Span backoff;  // 0: the server answers the category
 };
 
-// Parts of the fleet that a cell or a zone holds.
-struct Mix {
-    double readers = 0, writers = 0;
-    double reads = 0;            // of all reads, what its readers are to do
-    double over = 0, spare = 0;  // of a zone: what its cells hold of one over the other
-    std::uint16_t zone = 0;      // of a cell
+// Shares of the fleet that a cell or a zone holds.
+struct LocationShare {
+    double prefill_share = 0, decode_share = 0;
+    double prefill_work = 0;  // target share of all prefills for its prefill servers
+    // Of a zone: prefill work of its cells beyond their decode share, and decode share beyond their work.
+    double excess = 0, spare = 0;
+    std::uint16_t zone = 0;  // of a cell
 };
 
 class Rules {
   public:
     Rules(const Terms& terms, Host& host, std::uint32_t seed);
 
-    // Categories, kinds and client groups may only have grown; queries in hand keep the category that they
-    // came with.
+    // Categories, kinds and client groups may only have been added; requests in progress keep the category
+    // that they arrived with.
     void terms_changed(const Terms& terms);
     void list_arrived(std::span<const Listing> entries, bool whole);
     void list_missed();
-    void query_arrived(QueryIndex query, const Arrival& facts);
-    void query_left(QueryIndex query);
-    void stream_began(QueryIndex query, Span took);
-    void attempt_ended(QueryIndex query, ServerIndex server, const Outcome& outcome);
-    // The lease of what is held for a request has ended: it has been released, whatever attempt is out.
-    void state_expired(QueryIndex query);
+    void query_arrived(QueryIndex request, const Arrival& info);
+    void query_left(QueryIndex request);
+    void stream_began(QueryIndex request, Span took);
+    void attempt_ended(QueryIndex request, ServerIndex server, const Outcome& outcome);
+    // The lease of the request's state has ended: the state has been released, whichever attempt is in
+    // flight.
+    void state_expired(QueryIndex request);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
     void timer_rang(TimerKey key);
     void peer_told(std::string_view text);
-    // Requests that wait for a server, for whoever watches the gateway.
+    // Requests that wait for a server, for monitoring.
     struct Waiting {
         std::size_t requests = 0;
-        Instant oldest;  // when the one that has waited for longest came; of use where there are any
+        Instant oldest;  // arrival of the request that has waited longest; valid if there is any
     };
     Waiting waiting() const;
-    // What is kept of servers to spare work is worked out anew, which changes no decision. For tests that
-    // compare.
-    void drop_kept() { listed_servers_changed(); }
+    // Discards the cached subsets of servers, which changes no decision. For tests that compare.
+    void invalidate_server_subsets() { listed_servers_changed(); }
 
   private:
-    bool reads(ServerIndex s) const;
-    bool writes(ServerIndex s) const;
-    bool ready(ServerIndex s) const;
+    bool does_prefill(ServerIndex s) const;
+    bool does_decode(ServerIndex s) const;
+    bool is_ready(ServerIndex s) const;
     bool is_cold(ServerIndex s) const;
-    bool may_take(ServerIndex s) const;
+    bool may_receive(ServerIndex s) const;
     const std::vector<ServerIndex>& prefill_candidates();
     const std::vector<ServerIndex>& decode_candidates();
     void listed_servers_changed();
-    void capacity_changed(ServerIndex s);
-    void set_cold_level(ServerIndex s, double level);
-    void change_waiting(ServerIndex s, int by);
-    bool is_open(ServerIndex s) const;
-    Span repeat_left(const Query& q) const;
-    bool may_go(const Query& q, ServerIndex s) const;
-    bool shows_room(ServerIndex s) const;
-    bool any_room(const Query& q);
-    bool look_for_room(const Query& q, const std::vector<ServerIndex>& among);
+    void availability_changed(ServerIndex s);
+    void set_slow_start_credit(ServerIndex s, double credit);
+    void change_unanswered(ServerIndex s, int by);
+    bool is_available(ServerIndex s) const;
+    Span repeat_time_left(const RoutedRequest& q) const;
+    bool may_run_on(const RoutedRequest& q, ServerIndex s) const;
+    bool has_free_memory(ServerIndex s) const;
+    bool any_decode_room(const RoutedRequest& q);
+    bool find_decode_room(const RoutedRequest& q, const std::vector<ServerIndex>& servers);
     bool has_room(ServerIndex s) const;
-    // What this gateway knows of where a query's texts lie; null: nothing.
-    struct Texts {
-        const KeptText* session;
-        const KeptText* beginning;
+    // Where this gateway expects the request's prefixes to be cached; null: unknown.
+    struct CachedPrefixes {
+        const CachedPrefix* session;
+        const CachedPrefix* shared_prefix;
     };
-    Texts texts_of(const Query& q) const;
-    double expected_kept(const Query& q, const Texts& texts, ServerIndex s) const;
-    double stream_estimate(const Query& q) const;
-    double told(ServerIndex s, const std::vector<double>& figure, const std::vector<Learned>& average) const;
-    double still_running(Instant then) const;
-    void note_sent(ServerIndex s, double tokens);
-    double sent_since(ServerIndex s) const;
-    double reader_load(ServerIndex s) const;
-    double writer_room(ServerIndex s) const;
-    bool tell(const Query& q, ServerIndex taken, bool reading, const char* why);
-    bool pick_reader(const Query& q, ServerIndex& best);
-    bool pick_writer(const Query& q, ServerIndex& best);
+    CachedPrefixes cached_prefixes_of(const RoutedRequest& q) const;
+    double expected_cached_tokens(const RoutedRequest& q, const CachedPrefixes& prefixes,
+                                  ServerIndex s) const;
+    double estimated_stream_tokens(const RoutedRequest& q) const;
+    double reported_or_average(ServerIndex s, const std::vector<double>& reported,
+                               const std::vector<ExponentialAverage>& average) const;
+    double share_still_running(Instant since) const;
+    void note_stream_sent(ServerIndex s, double tokens);
+    double stream_tokens_since_report(ServerIndex s) const;
+    double queued_prompt_tokens(ServerIndex s) const;
+    double decode_room(ServerIndex s) const;
+    bool trace_choice(const RoutedRequest& q, ServerIndex chosen, bool is_prefill, const char* why);
+    bool pick_prefill_server(const RoutedRequest& q, ServerIndex& best);
+    bool pick_decode_server(const RoutedRequest& q, ServerIndex& best);
     bool is_connected(ServerIndex s) const;
-    ServerIndex draw_among_ties(const Query& q, double least_room);
-    ServerIndex connected_instead(ServerIndex drawn, double least_room);
+    ServerIndex pick_among_ties(const RoutedRequest& q, double least_room);
+    ServerIndex prefer_connected(ServerIndex picked, double least_room);
 
-    double chance();
-    double lot(const Query& q, ServerIndex s);
-    double reader_part(ServerIndex s) const { return reader_parts_[s]; }
-    double part_of_reads(ServerIndex s) const;
-    void gather_lots(const Query& q, double most_load);
-    ServerIndex home_of(const Query& q, double readers);
-    std::size_t home_place(const Query& q, double readers) const;
-    double writer_part(ServerIndex s, ServerIndex reader) const;
-    double part_of_place(ServerIndex s, ServerIndex reader);
-    std::size_t way(ServerIndex from, ServerIndex to) const;
-    void note_hand_over(const Query& q, Span took);
-    double hand_over_time(std::size_t w) const;
-    void weigh_cells();
-    void grow(ServerIndex s);
-    void forget(ServerIndex s);
-    void refill_cold();
-    void note_good(ServerIndex s, double pace, bool reading);
-    void note_bad(ServerIndex s);
-    double failing(ServerIndex s, double sample);
-    void weigh(ServerIndex s, double odds);
-    void shut_out(ServerIndex s, bool lost);
-    double pace_now(ServerIndex s, Span goal) const;
-    double usual_pace(Span goal) const;
-    bool link_late(const Query& q, ServerIndex s, Span read) const;
-    bool read_late(const Query& q, double kept, ServerIndex s) const;
+    double random_unit();
+    double affinity_score(const RoutedRequest& q, ServerIndex s);
+    double prefill_weight(ServerIndex s) const { return prefill_weights_[s]; }
+    double compute_prefill_weight(ServerIndex s) const;
+    void score_candidates(const RoutedRequest& q, double max_load);
+    ServerIndex preferred_server(const RoutedRequest& q, double total_weight);
+    std::size_t preferred_rank(const RoutedRequest& q, double total_weight) const;
+    double decode_weight(ServerIndex s, ServerIndex prefill_server) const;
+    double place_weight(ServerIndex s, ServerIndex prefill_server);
+    std::size_t distance_class(ServerIndex from, ServerIndex to) const;
+    void note_hand_over(const RoutedRequest& q, Span took);
+    double hand_over_time(std::size_t distance) const;
+    void compute_fleet_shares();
+    void add_servers_up_to(ServerIndex s);
+    void reset_server(ServerIndex s);
+    void refill_slow_start();
+    void note_success(ServerIndex s, double pace, bool is_prefill);
+    void note_failure(ServerIndex s);
+    double update_failure_rate(ServerIndex s, double sample);
+    void add_evidence(ServerIndex s, double log_odds);
+    void eject(ServerIndex s, bool unreachable);
+    double current_pace(ServerIndex s, Span goal) const;
+    double role_pace(Span goal) const;
+    bool is_transfer_late(const RoutedRequest& q, ServerIndex s, Span prefill_time) const;
+    bool is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const;
     void note_report(ServerIndex s, const LoadReport& report);
-    void remember_read(const Query& q, ServerIndex s);
+    void remember_cached_prefix(const RoutedRequest& q, ServerIndex s);
 
-    void send(QueryIndex i, ServerIndex s, bool reading);
-    void settle_books(Query& q);
-    bool start(QueryIndex i);
+    void send(QueryIndex i, ServerIndex s, bool is_prefill);
+    void uncount_attempt(RoutedRequest& q);
+    bool try_start(QueryIndex i);
     void hand_over(QueryIndex i);
-    void let_go(QueryIndex i);
-    void park(QueryIndex i);
-    void stand_again(QueryIndex i);
+    void release_state(QueryIndex i);
+    void wait_for_decode(QueryIndex i);
+    void requeue(QueryIndex i);
     void retry_or_end(QueryIndex i);
-    void end(QueryIndex i, Span stay_away);
-    void over(QueryIndex i);
-    void take_back_unheard(QueryIndex i);
-    std::uint32_t most_attempts(const Query& q) const;
-    Instant of_use_until(const Query& q) const;
-    void serve_lines();
-    void serve_line(std::deque<std::pair<QueryIndex, std::uint32_t>>& line, Stage stage);
-    bool is_overdue(const Query& q) const;
-    void serve_parked();
-    void wake_soon(Span after);
-    void watch();
-    void watch_on();
-    bool is_open_to(const Query& q, ServerIndex s) const;
-    void unanswered(std::uint16_t category, ServerIndex s, bool own);
-    void answered(const Query& q, ServerIndex s);
-    void tell_peers(char what, ServerIndex s, double figure);
-    void pay_probes();
+    void end_request(QueryIndex i, Span stay_away);
+    void finish(QueryIndex i);
+    void cancel_unanswered_hand_over(QueryIndex i);
+    std::uint32_t attempt_limit(const RoutedRequest& q) const;
+    Instant useful_until(const RoutedRequest& q) const;
+    void serve_queues();
+    void serve_queue(std::deque<std::pair<QueryIndex, std::uint32_t>>& queue, Stage stage);
+    bool is_overdue(const RoutedRequest& q) const;
+    void serve_waiting_for_decode();
+    void schedule_sweep(Span after);
+    void check_for_silence();
+    void schedule_silence_check();
+    bool is_available_to(const RoutedRequest& q, ServerIndex s) const;
+    void suspend_category(std::uint16_t category, ServerIndex s, bool observed_here);
+    void note_category_answered(const RoutedRequest& q, ServerIndex s);
+    void notify_peers(char type, ServerIndex s, double value);
+    void earn_probe_credit();
     void probe(ServerIndex s);
-    void probe_some();
-    void ask_readers(Query& q);
-    bool answers_at_once(const Query& q, ServerIndex s) const;
-    bool over_share(const Query& q);
+    void probe_stalest();
+    void probe_preferred_servers(RoutedRequest& q);
+    bool answered_probe_quickly(const RoutedRequest& q, ServerIndex s) const;
+    bool exceeds_quota(const RoutedRequest& q);
 
     Terms terms_;
     Host& host_;
-    Instant now_;  // of the event in hand
-    std::minstd_rand chance_;
+    Instant now_;  // time of the current event
+    std::minstd_rand random_;
 
-    std::vector<Query> queries_;
-    std::deque<std::pair<QueryIndex, std::uint32_t>> first_line_, further_line_, parked_;
+    std::vector<RoutedRequest> requests_;
+    std::deque<std::pair<QueryIndex, std::uint32_t>> new_requests_, retries_, waiting_for_decode_;
     Instant sweep_at_;
-    bool watch_set_ = false;
-    Recent<KeptText> sessions_, beginnings_;
+    bool silence_check_scheduled_ = false;
+    GenerationalCache<CachedPrefix> session_prefixes_, shared_prefixes_;
 
-    std::size_t servers_ = 0;
+    std::size_t server_count_ = 0;
     std::vector<Role> role_;
-    std::vector<Standing> standing_;
+    std::vector<Standing> status_;
     std::vector<std::uint16_t> zone_, kind_;
-    bool has_readers_ = false;
-    std::vector<std::uint32_t> cell_, life_;
-    std::vector<std::uint64_t> mark_;
-    std::vector<ServerIndex> candidates_;  // of the choice in hand
-    // Of the choice of a decode server in hand: the candidates' room, and parts by cell.
-    std::vector<double> rooms_;
-    struct PartOfCell {
+    bool has_prefill_servers_ = false;
+    std::vector<std::uint32_t> cell_, incarnation_;
+    std::vector<std::uint64_t> name_hash_;
+    std::vector<ServerIndex> candidates_;  // of the current choice
+    // For the current choice of a decode server: the room of each candidate, and the weights by cell.
+    std::vector<double> candidate_room_;
+    struct CellWeight {
         bool is_known = false;
         std::uint16_t zone = 0;
-        double part = 0;
+        double weight = 0;
     };
-    std::vector<PartOfCell> parts_of_cells_;
-    // Ready servers by role, with mixed ones in both; and of these, those that may be sent something now.
-    std::vector<ServerIndex> ready_prefill_, ready_decode_, cold_;
+    std::vector<CellWeight> cell_weights_;
+    // Ready servers by role (mixed ones are in both lists), those of them in slow start, and the subsets that
+    // may receive a request now.
+    std::vector<ServerIndex> ready_prefill_, ready_decode_, cold_servers_;
     ServerSubset prefill_candidates_, decode_candidates_, servers_with_room_;
-    bool room_is_of_all_ = false;  // what cell_room_ and zone_room_ tell holds for any request
-    std::vector<double> reader_parts_;
-    struct UsualPace {
+    bool room_holds_for_all_requests_ = false;  // whether cell_room_ and zone_room_ hold for any request
+    std::vector<double> prefill_weights_;
+    struct RolePace {
         Instant at;
         Span goal;
         std::uint64_t samples = 0;
         double pace = 0;
     };
-    mutable UsualPace usual_pace_;  // as last worked out
-    std::size_t looks_ = 0;         // at servers for requests that wait, since then
-    Instant looks_since_;
-    std::vector<Host::Sight> sights_;
-    std::vector<std::pair<double, ServerIndex>> lots_;
-    std::unordered_map<std::uint64_t, std::pair<double, Instant>> popularity_;
-    std::vector<Mix> cells_, zones_;
-    std::vector<bool> cell_room_, zone_room_;  // as last looked at
-    double far_spare_ = 0, spare_readers_ = 0;
-    std::vector<Instant> born_, full_at_, shut_until_, cold_filled_, heard_at_, told_at_, paced_at_,
-        probed_at_, answered_at_, sent_at_, connected_at_;
-    Instant peers_paced_at_;
-    std::vector<Span> shut_for_, answer_took_;
-    std::vector<double> memory_, unread_, streams_, reported_memory_, reported_unread_, sent_unread_,
-        sent_streams_, newer_unread_, newer_streams_, doubt_, failed_, pace_, cold_level_;
-    std::vector<bool> lost_;
-    std::vector<std::uint32_t> paced_, waiting_;
+    mutable RolePace role_pace_;     // cached result of role_pace()
+    std::size_t server_checks_ = 0;  // servers examined for waiting requests since server_checks_since_
+    Instant server_checks_since_;
+    std::vector<Host::Sight> traced_candidates_;
+    std::vector<std::pair<double, ServerIndex>> scores_;
+    std::unordered_map<std::uint64_t, std::pair<double, Instant>> shared_prefix_counts_;
+    std::vector<LocationShare> cells_, zones_;
+    std::vector<bool> cell_room_, zone_room_;  // as of the last check
+    double spare_in_other_zones_ = 0, spare_prefill_ = 0;
+    std::vector<Instant> started_at_, full_at_, ejected_until_, slow_start_refilled_at_, last_heard_at_,
+        reported_at_, pace_measured_at_, probed_at_, probe_answered_at_, sent_at_, connected_at_;
+    Instant role_pace_measured_at_;
+    std::vector<Span> ejection_time_, probe_duration_;
+    std::vector<double> memory_tokens_, own_queued_tokens_, own_stream_tokens_, reported_memory_,
+        reported_queue_, queued_since_report_, streams_since_report_, queued_since_answer_,
+        streams_since_answer_, outlier_score_, failure_rate_, pace_, slow_start_credit_;
+    std::vector<bool> unreachable_;
+    std::vector<std::uint32_t> pace_samples_, unanswered_attempts_;
 
-    Learned prompt_, read_time_, read_tokens_, first_time_, stream_time_, kept_share_;
-    std::vector<Learned> told_memory_, told_unread_;  // by kind
-    // Of writers and mixed servers, then of readers.
-    std::array<Learned, 2> fails_, paces_;
-    std::array<Learned, 3> hand_overs_;  // by way
-    std::array<Instant, 3> handed_at_{};
-    Instant weighed_at_;
-    std::array<double, 2> peers_{};
-    bool memory_told_ = false;
-    double probes_due_ = 0;
-    std::vector<Learned> work_of_category_;
-    Learned work_;
-    double strain_ = 0;
-    double reads_done_ = 0, writes_done_ = 0, arrivals_ = 0;
-    double alike_ = 0, pairs_ = 0;  // of queries met one after the other, with the same beginning and in all
-    Instant counted_at_;
-    std::vector<std::vector<Mute>> mutes_;  // by category
-    std::array<std::vector<Instant>, 2>
-        passed_;  // when the latest attempt was sent that has been answered: hand-overs, reads
-    std::vector<double> share_level_;
-    std::vector<Instant> share_filled_;
+    ExponentialAverage prompt_length_, prefill_time_, tokens_per_prefill_, first_token_time_, stream_time_,
+        cached_share_;
+    std::vector<ExponentialAverage> memory_by_kind_, queue_by_kind_;  // averages of reported loads, by kind
+    // [0]: decode and mixed servers; [1]: prefill servers.
+    std::array<ExponentialAverage, 2> role_failure_rates_, role_log_paces_;
+    std::array<ExponentialAverage, 3> hand_over_times_;  // by distance class
+    std::array<Instant, 3> last_hand_over_at_{};
+    Instant shares_computed_at_;
+    std::array<double, 2> role_sizes_{};
+    bool memory_reported_ = false;
+    double probe_credit_ = 0;
+    std::vector<ExponentialAverage> work_by_category_;
+    ExponentialAverage average_work_;
+    double goal_usage_ = 0;
+    double recent_prefills_ = 0, recent_decodes_ = 0, recent_arrivals_ = 0;
+    // Pairs of requests, an earlier and a later one: with the same shared prefix, and all.
+    double matching_pairs_ = 0, all_pairs_ = 0;
+    Instant counts_decayed_at_;
+    std::vector<std::vector<CategorySuspension>> suspensions_;  // by category, then by server
+    // When the latest answered attempt was sent to each server. [0]: hand-overs; [1]: prefills.
+    std::array<std::vector<Instant>, 2> answered_sent_at_;
+    std::vector<double> quota_credit_;
+    std::vector<Instant> quota_refilled_at_;
 };
 
 }  // namespace copperfront
--- a/src/core/rules_tuning.h
+++ b/src/core/rules_tuning.h
@@ -1,5 +1,4 @@
-// Tuned values of the rules and the small formulas that several of their files use. Only those files include
-// it.
+// Constants of the router, and small formulas that several of its files use. Only those files include it.
 #pragma once
 
 #include <algorithm>
@@ -13,82 +12,99 @@
 namespace copperfront {
 
 inline constexpr Span kMs{1000};
-inline constexpr std::size_t kSightsTold = 8;  // of a choice, to a trace
+inline constexpr std::size_t kTracedCandidates = 8;  // of a choice, written to a trace
 inline constexpr double kInfinite = std::numeric_limits<double>::infinity();
 
-// Settled by the design.
-inline constexpr double kRoomShare = 0.9;
-inline constexpr Span kFullFor = kMs * 1000;
-inline constexpr double kKeptMargin = 1.0;  // typical prompts
-
-// Left open by the design: what counts as a tie, in which the shorter way counts for more.
-inline constexpr double kScatter = 2.0;    // mean deviations of reported loads
-inline constexpr double kLeaveCost = 2.0;  // times the tokens read anew that a shorter queue must save
-inline constexpr double kReaderTie = 0.25,
-                        kHomesPart = 2.0;  // typical prompts; homes for each reader kept busy
-inline constexpr double kFewArrivals = 16.0, kReadStretch = 2.0, kLeastPart = 1e-9;
-inline constexpr double kAlikeBefore = 0.5,
-                        kPairsBefore = 8.0;  // queries that begin alike, before any have been met
-inline constexpr double kWriterTie = 3.0;    // streams of the size in hand; wider ties lose under overload
-// Of the time that an unused connection is kept: in which a server counts as connected. And from how many
-// connected decode servers on a tie goes to one of them.
-inline constexpr double kConnectedPart = 0.5;
-inline constexpr std::size_t kConnectedEnough = 40;
-inline constexpr Span kWeighEvery = kMs * 1000;
-
-// Health. Evidence is weighed as odds: how often an ill server fails, how often one must be thought to fail
-// at the least, and what is far enough from its peers' pace; one sample alone shuts out nobody.
-inline constexpr double kLearn = 0.3, kLearnPool = 0.05,
-                        kLearnUsual = 0.02;  // of one server, a role, all queries
-inline constexpr double kIllFails = 0.6, kFewFail = 0.02, kSlack = 0.9, kMostSlow = 2.3, kShutDoubt = 4.6;
-inline constexpr Span kShutFirst = kMs * 1000, kShutMost = kMs * 8000;
-inline constexpr double kShutPart = 0.5;  // the most of a role that plain failures and slowness may shut out
-inline constexpr std::uint64_t kPaceSamples = 8, kUsualSamples = 20;
-inline constexpr double kLeastRead = 0.1;  // typical prompts that a read costs even where all of it is kept
-
-// Silence: far past the usual, with a bound from the latency goal; of a category, its first and longest time.
-inline constexpr double kSpreads = 6.0, kSilentFactor = 4.0, kSilentGoal = 0.5;
-inline constexpr Span kWatchEvery = kMs * 20, kMuteFirst = kMs * 4000, kMuteMost = kMs * 16000;
-
-// Cold servers: the part of a full budget that is planned for, and how much of it may go at once.
-inline constexpr double kColdPart = 0.8, kColdBurst = 0.35;
-
-// The part of the latency goal that a read may fill, and of that where nothing is kept.
-inline constexpr double kFillGoal = 0.6, kFillUnkept = 0.5;
+inline constexpr double kMaxMemoryShare = 0.9;
+inline constexpr Span kFullBackoff = kMs * 1000;
+// Load, in typical prompts, by which a server with a cached prefix may exceed the least loaded one.
+inline constexpr double kAffinityMarginPrompts = 1.0;
+
+// Choice of servers. Candidates that differ by less than a tie margin count as equal; among these the shorter
+// transfer is favoured.
+inline constexpr double kReportDeviations = 2.0;  // added to that margin: mean deviations of reported queues
+// A shorter queue elsewhere must save this many times the tokens that are prefilled again there.
+inline constexpr double kAffinityLeaveFactor = 2.0;
+// Tie margin between prefill servers, in typical prompts; and preferred servers of a shared prefix for each
+// server that its traffic keeps busy.
+inline constexpr double kPrefillTiePrompts = 0.25, kPreferredPerBusyServer = 2.0;
+inline constexpr double kPriorArrivals = 16.0, kPrefillStretch = 2.0, kMinWeight = 1e-9;
+// Pairs of requests with the same shared prefix, and all pairs, that are assumed before any have arrived.
+inline constexpr double kPriorMatchingPairs = 0.5, kPriorPairs = 8.0;
+// In streams of the request's size; wider ties do worse under overload.
+inline constexpr double kDecodeTieStreams = 3.0;
+// A server counts as connected for this share of the time for which an unused connection is kept. From this
+// number of connected decode servers on, a tie goes to one of them.
+inline constexpr double kConnectedIdleShare = 0.5;
+inline constexpr std::size_t kMinConnectedServers = 40;
+inline constexpr Span kFleetShareInterval = kMs * 1000;
+
+// Outlier ejection. Evidence is added up as log odds. The constants are the least weights of a sample in
+// averages of one server, of a role and of all requests; how often a failing server fails, the least failure
+// rate that is assumed of a server, and from which distance on, as the log of the ratio to its peers' pace, a
+// server counts as slow. One sample alone ejects no server.
+inline constexpr double kServerSampleWeight = 0.3, kRoleSampleWeight = 0.05, kRequestSampleWeight = 0.02;
+inline constexpr double kOutlierFailureRate = 0.6, kMinFailureRate = 0.02, kPaceSlack = 0.9,
+                        kMaxSlownessEvidence = 2.3, kEjectionScore = 4.6;
+inline constexpr Span kFirstEjectionTime = kMs * 1000, kMaxEjectionTime = kMs * 8000;
+// The largest share of a role that failures and slowness may eject.
+inline constexpr double kMaxEjectedShare = 0.5;
+inline constexpr std::uint64_t kMinPaceSamples = 8, kMinSilenceSamples = 20;
+// Cost of a prefill whose whole prompt is cached, in typical prompts.
+inline constexpr double kMinPrefillPrompts = 0.1;
+
+// Silence of a server: far beyond the usual time to an answer, with a lower bound as a share of the latency
+// goal. Suspension of a category at a server: first and longest time.
+inline constexpr double kSilenceDeviations = 6.0, kSilencePaceFactor = 4.0, kSilenceGoalShare = 0.5;
+inline constexpr Span kSilenceCheckInterval = kMs * 20, kFirstSuspension = kMs * 4000,
+                      kMaxSuspension = kMs * 16000;
+
+// Slow start: the share of the full budget that is planned for, and the share of that which may be spent in a
+// burst.
+inline constexpr double kSlowStartShare = 0.8, kSlowStartBurstShare = 0.35;
+
+// The share of the latency goal that a prefill may take, and the share of that for a prompt with nothing
+// cached.
+inline constexpr double kPrefillGoalShare = 0.6, kUncachedGoalShare = 0.5;
 
 inline constexpr double kRateWindowS = 10.0;
-inline constexpr double kFresh = 0.5;     // latency goals in which what a read took tells of the next
-inline constexpr double kStrained = 0.4;  // first-token time over the latency goal
-inline constexpr double kShareBurstS = 2.0,
-                        kShareChance = 3.0;    // seconds of a share; deviations that are chance
-inline constexpr double kAskPart = 1.0 / 128;  // of the latency goal that asked readers have to answer in
-inline constexpr double kProbeSpend = 0.008,
-                        kProbesMost = 3.0;        // points of the result, and probes, for a query
-inline constexpr std::size_t kTextsKept = 20000;  // sessions remembered in each of two generations
-inline constexpr double kFigureTold = 100;        // tokens
-
-// Looks at servers for requests that wait: so many in a while of this length.
-inline constexpr Span kLooksEvery = kMs * 20;
-inline constexpr std::size_t kMostLooks = 150000;
-
-inline constexpr TimerKey kSweepKey = 1, kListKey = 2, kWatchKey = 3, kQueryKeys = TimerKey{1} << 62;
-
-inline void learn(Learned& l, double sample, double least = kLearnUsual) { l.learn(sample, least); }
-
-// What a client group may send at once here: a gateway among many is sent few queries, which chance bunches.
-inline double share_burst(double rate) {
-    const double usual = rate * kShareBurstS;
-    return std::max(1.0, usual + kShareChance * std::sqrt(usual));
+inline constexpr double kPaceFadeGoals = 0.5;      // latency goals in which a measured pace fades
+inline constexpr double kOverloadGoalUsage = 0.4;  // first-token time over the latency goal
+// Burst of a client group: seconds of its rate, and standard deviations that are allowed for chance.
+inline constexpr double kQuotaBurstS = 2.0, kQuotaBurstDeviations = 3.0;
+// Time that probed prefill servers have to answer, as a share of the latency goal.
+inline constexpr double kProbeGoalShare = 1.0 / 128;
+// What probes may cost per request, in the unit of Terms::probe_fee; and the most probes per request.
+inline constexpr double kProbeSpendPerRequest = 0.008, kMaxProbesPerRequest = 3.0;
+inline constexpr std::size_t kRememberedPrefixes = 20000;  // in each of two generations
+inline constexpr double kTokensPerNoteUnit = 100;          // stream tokens per unit of a note to peers
+
+// Bound on the servers examined for waiting requests: this many in each interval.
+inline constexpr Span kServerCheckInterval = kMs * 20;
+inline constexpr std::size_t kMaxServerChecks = 150000;
+
+inline constexpr TimerKey kSweepKey = 1, kListKey = 2, kSilenceCheckKey = 3, kRequestKeys = TimerKey{1} << 62;
+
+inline void add_sample(ExponentialAverage& average, double sample, double min_weight = kRequestSampleWeight) {
+    average.add_sample(sample, min_weight);
+}
+
+// The burst that a client group may send at this gateway. One gateway of many gets few requests, which chance
+// bunches.
+inline double quota_burst(double rate) {
+    const double expected = rate * kQuotaBurstS;
+    return std::max(1.0, expected + kQuotaBurstDeviations * std::sqrt(expected));
 }
 
 inline double seconds(Span s) { return s.ms() / 1000; }
 
-// What it has just found bad, or came to get away from.
-inline bool avoids(const Query& q, ServerIndex s) {
-    return std::find(q.avoid.begin(), q.avoid.end(), s) != q.avoid.end();
+// Whether the request has just found this server failing, or is to avoid it.
+inline bool is_avoided(const RoutedRequest& q, ServerIndex s) {
+    return std::find(q.avoided_servers.begin(), q.avoided_servers.end(), s) != q.avoided_servers.end();
 }
 
-// What a quick one takes: a jam that is over still fills the means of a gateway that is sent little.
-inline double quick_of(const Learned& l) { return std::max(0.0, l.mean - l.spread); }
+// A time that fast samples take. After an overload the mean stays high for long at a gateway with few
+// requests.
+inline double quick_time(const ExponentialAverage& time) { return std::max(0.0, time.mean - time.deviation); }
 
 }  // namespace copperfront
--- a/src/core/server_health.cpp
+++ b/src/core/server_health.cpp
@@ -9,153 +9,170 @@
 
 namespace copperfront {
 
-// Shut out, a server is tried again by single attempts once its time is over; a good one lets it back in.
-bool Rules::is_open(ServerIndex s) const {
-    return may_take(s) && (shut_for_[s].us == 0 || (now_ >= shut_until_[s] && waiting_[s] == 0));
+// An ejected server gets single attempts once its ejection time is over (half-open probe); a success readmits
+// it.
+bool Rules::is_available(ServerIndex s) const {
+    return may_receive(s) &&
+           (ejection_time_[s].us == 0 || (now_ >= ejected_until_[s] && unanswered_attempts_[s] == 0));
 }
 
-// Open to this query: not known to leave its category unanswered.
-bool Rules::is_open_to(const Query& q, ServerIndex s) const {
-    return is_open(s) && now_ >= mutes_[q.facts.category][s].until;
+// Whether the server is available and not known to leave the request's category unanswered.
+bool Rules::is_available_to(const RoutedRequest& q, ServerIndex s) const {
+    return is_available(s) && now_ >= suspensions_[q.info.category][s].until;
 }
 
-// Doubt in a server is the log of the odds that it is ill rather than like its role, gathered from each
-// outcome against what the role as a whole shows now: a few samples are enough where they stand out, and a
-// fleet that fails or is slow as a whole shuts out nobody. Against servers that answer fast with errors (and,
-// with the fewest queued, would draw all traffic), fall silent or lose states or streams.
-void Rules::note_bad(ServerIndex s) { weigh(s, std::log(kIllFails / failing(s, 1.0))); }
+// Outlier ejection. The outlier score of a server is the log of the odds that it fails rather than behaves
+// like its role, added up from each outcome against what the whole role shows now: a few samples are enough
+// where they stand out, and a fleet that fails or is slow as a whole ejects no server. It handles servers
+// that answer fast with errors (and would attract all traffic, as they have the fewest queued tokens), fall
+// silent, or lose states or streams.
+void Rules::note_failure(ServerIndex s) {
+    add_evidence(s, std::log(kOutlierFailureRate / update_failure_rate(s, 1.0)));
+}
 
-// The share that fails at the other servers of the role.
-double Rules::failing(ServerIndex s, double sample) {
-    Learned& share = fails_[role_[s] == Role::reader];
-    const double peers = std::max(1.0, peers_[role_[s] == Role::reader]);
-    const double others = peers > 1 ? (share.mean * peers - failed_[s]) / (peers - 1) : share.mean;
-    learn(share, sample, std::min(kLearn, 1 / peers));
-    failed_[s] += kLearn * (sample - failed_[s]);
-    return std::clamp(others, kFewFail, kIllFails);
+// Adds a sample, and returns the failure rate of the other servers of the role.
+double Rules::update_failure_rate(ServerIndex s, double sample) {
+    ExponentialAverage& rate = role_failure_rates_[role_[s] == Role::reader];
+    const double peers = std::max(1.0, role_sizes_[role_[s] == Role::reader]);
+    const double others = peers > 1 ? (rate.mean * peers - failure_rate_[s]) / (peers - 1) : rate.mean;
+    add_sample(rate, sample, std::min(kServerSampleWeight, 1 / peers));
+    failure_rate_[s] += kServerSampleWeight * (sample - failure_rate_[s]);
+    return std::clamp(others, kMinFailureRate, kOutlierFailureRate);
 }
 
-// Against servers that run slow without failing. Each is judged by one of the two paces.
-void Rules::note_good(ServerIndex s, double pace, bool reading) {
-    const double odds = std::log((1 - kIllFails) / (1 - failing(s, 0.0)));
-    if (reading != reads(s)) return weigh(s, odds);
-    Learned& peers = paces_[reading];
+// Also ejects servers that run slow without failing. Each server is judged by one of the two paces.
+void Rules::note_success(ServerIndex s, double pace, bool is_prefill) {
+    const double log_odds = std::log((1 - kOutlierFailureRate) / (1 - update_failure_rate(s, 0.0)));
+    if (is_prefill != does_prefill(s)) return add_evidence(s, log_odds);
+    ExponentialAverage& peers = role_log_paces_[is_prefill];
     const double log_pace = std::log(std::max(pace, 1e-9));
-    const double slow = peers.samples < kPaceSamples ? 0.0 : log_pace - peers.mean - kSlack;
-    if (reading) peers_paced_at_ = now_;
-    learn(peers, log_pace, kLearnPool);
-    paced_at_[s] = now_;
-    ++paced_[s];
-    pace_[s] += std::max(kLearn, 1.0 / paced_[s]) * (pace - pace_[s]);
-    weigh(s, odds + std::clamp(slow, -kSlack, kMostSlow));
+    const double slowness = peers.samples < kMinPaceSamples ? 0.0 : log_pace - peers.mean - kPaceSlack;
+    if (is_prefill) role_pace_measured_at_ = now_;
+    add_sample(peers, log_pace, kRoleSampleWeight);
+    pace_measured_at_[s] = now_;
+    ++pace_samples_[s];
+    pace_[s] += std::max(kServerSampleWeight, 1.0 / pace_samples_[s]) * (pace - pace_[s]);
+    add_evidence(s, log_odds + std::clamp(slowness, -kPaceSlack, kMaxSlownessEvidence));
 }
 
-void Rules::weigh(ServerIndex s, double odds) {
-    doubt_[s] = std::max(0.0, doubt_[s] + odds);
-    if (doubt_[s] >= kShutDoubt) return shut_out(s, false);
-    if (shut_for_[s].us == 0) return;
-    shut_for_[s] = {};
-    capacity_changed(s);
+void Rules::add_evidence(ServerIndex s, double log_odds) {
+    outlier_score_[s] = std::max(0.0, outlier_score_[s] + log_odds);
+    if (outlier_score_[s] >= kEjectionScore) return eject(s, false);
+    if (ejection_time_[s].us == 0) return;
+    ejection_time_[s] = {};
+    availability_changed(s);
     host_.shut(s, false);
     host_.log("server " + std::to_string(s) + " is let in again");
 }
 
-// Doubt may shut out no more than half of what can be reached of a role, or the rest would drown; what can't
-// be reached, for which one attempt is enough, counts on neither side: a dead zone keeps no failing server
-// in.
-void Rules::shut_out(ServerIndex s, bool lost) {
-    doubt_[s] = kShutDoubt;
-    if (!lost && shut_for_[s].us == 0) {
-        double peers = 0, shut = 0;
-        for (const ServerIndex o : role_[s] == Role::reader ? ready_prefill_ : ready_decode_) {
-            if (role_[o] != role_[s] || (shut_for_[o].us > 0 && lost_[o])) continue;
+// The score may eject at most half of the reachable servers of a role, or the rest would be overloaded.
+// Unreachable servers, for which one failed attempt is enough, count on neither side: an unreachable zone
+// must not keep a failing server in.
+void Rules::eject(ServerIndex s, bool unreachable) {
+    outlier_score_[s] = kEjectionScore;
+    if (!unreachable && ejection_time_[s].us == 0) {
+        double peers = 0, ejected = 0;
+        for (const ServerIndex other : role_[s] == Role::reader ? ready_prefill_ : ready_decode_) {
+            if (role_[other] != role_[s] || (ejection_time_[other].us > 0 && unreachable_[other])) continue;
             ++peers;
-            shut += shut_for_[o].us > 0;
+            ejected += ejection_time_[other].us > 0;
         }
-        if (shut + 1 > peers * kShutPart) return;
+        if (ejected + 1 > peers * kMaxEjectedShare) return;
     }
-    lost_[s] = lost;
-    if (shut_for_[s].us == 0) host_.log("server " + std::to_string(s) + " is shut out after failures");
+    unreachable_[s] = unreachable;
+    if (ejection_time_[s].us == 0) host_.log("server " + std::to_string(s) + " is shut out after failures");
     host_.shut(s, true);
-    shut_for_[s] = shut_for_[s].us == 0 ? kShutFirst : std::min(kShutMost, shut_for_[s] * 2);
-    shut_until_[s] = now_ + shut_for_[s];
-    capacity_changed(s);
+    ejection_time_[s] =
+        ejection_time_[s].us == 0 ? kFirstEjectionTime : std::min(kMaxEjectionTime, ejection_time_[s] * 2);
+    ejected_until_[s] = now_ + ejection_time_[s];
+    availability_changed(s);
 }
 
-// What may simply be repeated does not wait for a server that has said nothing at all since its hand-over was
-// sent, for far longer than hand-overs usually take: without its state that can only be turned away. Where
-// they usually take long, a server that is slow would be left for the next slow one.
-void Rules::take_back_unheard(QueryIndex i) {
-    Query& q = queries_[i];
-    const Category& c = terms_.categories[q.facts.category];
-    if (q.begun || q.called_off || heard_at_[q.server] > q.sent) return;
+// A hand-over that may simply be repeated does not wait for a server from which nothing has been heard since
+// it was sent, for far longer than hand-overs usually take: without its state it can only be rejected. Where
+// hand-overs usually take long, the attempt would only move from one slow server to the next.
+void Rules::cancel_unanswered_hand_over(QueryIndex i) {
+    RoutedRequest& q = requests_[i];
+    const Category& c = terms_.categories[q.info.category];
+    if (q.has_first_token || q.cancelled || last_heard_at_[q.server] > q.sent_at) return;
     if (c.effect != Effect::pure || !c.stream) return;
-    const Span usual = kMs * (first_time_.mean + kSpreads * first_time_.spread);
-    if (first_time_.samples < kPaceSamples || now_ - q.sent < usual) return;
-    q.called_off = true;
-    note_bad(q.server);
+    const Span limit = kMs * (first_token_time_.mean + kSilenceDeviations * first_token_time_.deviation);
+    if (first_token_time_.samples < kMinPaceSamples || now_ - q.sent_at < limit) return;
+    q.cancelled = true;
+    note_failure(q.server);
     host_.retract(i, q.attempts - 1);
 }
 
-void Rules::watch_on() {
-    if (!terms_.cancel || std::exchange(watch_set_, true)) return;
-    host_.set_timer(std::max(kWatchEvery, terms_.quantum), kWatchKey);
+void Rules::schedule_silence_check() {
+    if (!terms_.cancel || std::exchange(silence_check_scheduled_, true)) return;
+    host_.set_timer(std::max(kSilenceCheckInterval, terms_.quantum), kSilenceCheckKey);
 }
 
-// Against servers that fall silent. An attempt is called off only when for far longer than usual nothing at
-// all has been heard from its server since it was sent, or what was sent there later has been answered: a
-// jammed server goes on answering others, in their turn. One that does may leave this category alone
-// unanswered; what may run only once stays where it is, and warns the next ones.
-void Rules::watch() {
-    watch_set_ = false;
-    bool out = false;
-    for (QueryIndex i = 0; i < queries_.size(); ++i) {
-        Query& q = queries_[i];
-        const bool reading = q.stage == Stage::reading;
-        if (!q.out || q.called_off || (!reading && q.stage != Stage::writing)) continue;
-        const Category& c = terms_.categories[q.facts.category];
+// Handles servers that fall silent. An attempt is cancelled only after far longer than usual, and only if
+// nothing at all has been heard from its server since it was sent, or if an attempt sent there later has been
+// answered: an overloaded server goes on answering others in their turn. A server that answers others may
+// leave this category alone unanswered. Requests that may run only once stay where they are, and the next
+// ones avoid the server.
+void Rules::check_for_silence() {
+    silence_check_scheduled_ = false;
+    bool any_in_flight = false;
+    for (QueryIndex i = 0; i < requests_.size(); ++i) {
+        RoutedRequest& q = requests_[i];
+        const bool is_prefill = q.stage == Stage::prefilling;
+        if (!q.in_flight || q.cancelled || (!is_prefill && q.stage != Stage::decoding)) continue;
+        const Category& c = terms_.categories[q.info.category];
         const ServerIndex s = q.server;
-        out = true;
-        const Learned& usual = reading ? read_time_ : first_time_;
-        const bool lives = heard_at_[s] > q.sent;
-        if (usual.samples < kUsualSamples || (lives && passed_[reading][s] <= q.sent)) continue;
-        // Of a mixed server one of the two paces is known.
-        const double of_late = reading != reads(s)
-                                   ? 0.0
-                                   : pace_[s] * (reading ? q.queued_tokens + kLeastRead * prompt_.mean : 1.0);
-        double far = std::max(kSilentFactor * of_late, usual.mean + kSpreads * usual.spread);
-        if (!reading && q.has_state) {
-            const Learned& by_way = hand_overs_[way(q.state_at, s)];
-            far = std::max(far, by_way.mean + kSpreads * by_way.spread);
+        any_in_flight = true;
+        const ExponentialAverage& usual = is_prefill ? prefill_time_ : first_token_time_;
+        const bool is_responsive = last_heard_at_[s] > q.sent_at;
+        if (usual.samples < kMinSilenceSamples ||
+            (is_responsive && answered_sent_at_[is_prefill][s] <= q.sent_at))
+            continue;
+        // Only one of the two paces of a mixed server is known.
+        const double expected =
+            is_prefill != does_prefill(s)
+                ? 0.0
+                : pace_[s] * (is_prefill ? q.queued_tokens + kMinPrefillPrompts * prompt_length_.mean : 1.0);
+        double threshold =
+            std::max(kSilencePaceFactor * expected, usual.mean + kSilenceDeviations * usual.deviation);
+        if (!is_prefill && q.has_state) {
+            const ExponentialAverage& hand_over = hand_over_times_[distance_class(q.state_server, s)];
+            threshold = std::max(threshold, hand_over.mean + kSilenceDeviations * hand_over.deviation);
         }
-        if (now_ - q.sent < std::max(kMs * far, (q.goal - q.came) * kSilentGoal)) continue;
-        q.called_off = true;
-        lives ? unanswered(q.facts.category, s, true) : note_bad(s);
-        if (q.at_reader || (c.effect == Effect::pure && c.stream)) host_.retract(i, q.attempts - 1);
+        if (now_ - q.sent_at <
+            std::max(kMs * threshold, (q.goal_deadline - q.arrived_at) * kSilenceGoalShare))
+            continue;
+        q.cancelled = true;
+        is_responsive ? suspend_category(q.info.category, s, true) : note_failure(s);
+        if (q.at_prefill_server || (c.effect == Effect::pure && c.stream)) host_.retract(i, q.attempts - 1);
     }
-    if (out) watch_on();
+    if (any_in_flight) schedule_silence_check();
 }
 
-// They are passed over for the category, and tried again after a time that doubles. Gateways that may tell
-// each other do: what may run only once is lost with each try. A message may be lost; nothing rests on one.
-void Rules::unanswered(std::uint16_t category, ServerIndex s, bool own) {
-    Mute& mute = mutes_[category][s];
-    if (own || mute.held.us == 0)
-        mute.held = mute.held.us == 0 ? kMuteFirst : std::min(kMuteMost, mute.held * 2);
-    // Not all are to try it anew at the same time.
-    mute.until = std::max(mute.until, now_ + mute.held * (own ? 1.0 : 1 + chance()));
-    if (own) tell_peers('u', s, category);
+// Suspends a category at a server, for a time that doubles with each failure (circuit breaker with
+// exponential backoff). Gateways notify each other if the terms allow it, as a request that may run only once
+// is lost with each test. A note may be lost; nothing depends on it.
+void Rules::suspend_category(std::uint16_t category, ServerIndex s, bool observed_here) {
+    CategorySuspension& suspension = suspensions_[category][s];
+    if (observed_here || suspension.backoff.us == 0)
+        suspension.backoff =
+            suspension.backoff.us == 0 ? kFirstSuspension : std::min(kMaxSuspension, suspension.backoff * 2);
+    // Jitter: gateways do not test the server all at the same time.
+    suspension.until =
+        std::max(suspension.until, now_ + suspension.backoff * (observed_here ? 1.0 : 1 + random_unit()));
+    if (observed_here) notify_peers('u', s, category);
 }
 
-// Some are answered all the same, so one answer is not enough. What was sent before tells nothing.
-void Rules::answered(const Query& q, ServerIndex s) {
-    Mute& mute = mutes_[q.facts.category][s];
-    if (mute.held.us == 0 || q.sent < mute.since) return;
-    mute.held = mute.held * 0.25;
-    mute.until = now_;
-    if (mute.held >= kMuteFirst * 0.25) return;
-    mute.held = {};
-    tell_peers('a', s, q.facts.category);
+// Some attempts are answered even so, so one answer is not enough. Answers to attempts sent before say
+// nothing.
+void Rules::note_category_answered(const RoutedRequest& q, ServerIndex s) {
+    CategorySuspension& suspension = suspensions_[q.info.category][s];
+    if (suspension.backoff.us == 0 || q.sent_at < suspension.since) return;
+    suspension.backoff = suspension.backoff * 0.25;
+    suspension.until = now_;
+    if (suspension.backoff >= kFirstSuspension * 0.25) return;
+    suspension.backoff = {};
+    notify_peers('a', s, q.info.category);
 }
 
 }  // namespace copperfront
--- a/src/core/server_subset.h
+++ b/src/core/server_subset.h
@@ -1,6 +1,6 @@
-// A subset of the servers that a choice looks at, in the order of their indices. It is made anew only where a
-// server's membership may have changed: after an event that changes it, or once a time that it depends on has
-// come. Nothing here decides; whoever asks says which servers belong to it.
+// A subset of the servers that a choice considers, in the order of their indices. It is rebuilt only where
+// the membership of a server may have changed: after an event that changes it, or once a time that it depends
+// on has come. The user of the class decides which servers are members.
 #pragma once
 
 #include <algorithm>
@@ -14,20 +14,20 @@
 
 class ServerSubset {
   public:
-    // A server's membership may have changed.
+    // The membership of a server may have changed.
     void invalidate() { valid_ = false; }
-    // It holds until then at the latest.
+    // The subset is valid until then at the latest.
     void valid_until(Instant at) { until_ = std::min(until_, at); }
     bool is_valid(Instant now) const { return valid_ && now < until_; }
 
-    // `belongs(server)`: whether it belongs to the subset; it may call valid_until().
+    // `is_member(server)`: whether the server belongs to the subset; it may call valid_until().
     template <class Belongs>
-    void make(std::span<const ServerIndex> from, Belongs belongs) {
+    void rebuild(std::span<const ServerIndex> from, Belongs is_member) {
         servers_.clear();
         until_ = kForever;
         valid_ = true;
         for (const ServerIndex server : from) {
-            if (belongs(server)) servers_.push_back(server);
+            if (is_member(server)) servers_.push_back(server);
         }
     }
 
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -1,5 +1,5 @@
-// Slow start: how much a server that has just started is sent. All gateways together must stay under what it
-// can take, so each keeps to the part that its own traffic tells.
+// Slow start: how much is sent to a server that has just started. All gateways together must stay below what
+// it can take, so each keeps to the share that its own traffic implies.
 #include <algorithm>
 #include <cmath>
 
@@ -8,49 +8,55 @@
 
 namespace copperfront {
 
-bool Rules::is_cold(ServerIndex s) const { return born_[s].us > 0 && now_ - born_[s] < terms_.warm_within; }
+bool Rules::is_cold(ServerIndex s) const {
+    return started_at_[s].us > 0 && now_ - started_at_[s] < terms_.warm_within;
+}
 
-// Cold servers: all gateways together must stay under tip x capacity x window. Each keeps to the part that
-// its own traffic to warm servers of the role tells: if all do, the sum is the fleet's part.
-void Rules::refill_cold() {
-    // Nothing is gained by looking again within what the platform's clock tells apart.
-    if (now_ - counted_at_ < terms_.quantum) return;
-    const double fade = std::exp(-seconds(now_ - counted_at_) / kRateWindowS);
-    reads_done_ *= fade;
-    writes_done_ *= fade;
-    arrivals_ *= fade;
-    counted_at_ = now_;
-    const auto warm = std::remove_if(cold_.begin(), cold_.end(), [this](ServerIndex s) {
+// Refills the budgets of cold servers (token buckets). All gateways together must stay below tip_multiple x
+// start_capacity x fall. Each keeps to the share that its own traffic to warm servers of the role implies; if
+// all do, the sum is the fleet's share.
+void Rules::refill_slow_start() {
+    // Nothing is gained by refilling again within the clock's resolution.
+    if (now_ - counts_decayed_at_ < terms_.quantum) return;
+    const double fade = std::exp(-seconds(now_ - counts_decayed_at_) / kRateWindowS);
+    recent_prefills_ *= fade;
+    recent_decodes_ *= fade;
+    recent_arrivals_ *= fade;
+    counts_decayed_at_ = now_;
+    const auto first_warm = std::remove_if(cold_servers_.begin(), cold_servers_.end(), [this](ServerIndex s) {
         if (is_cold(s)) return false;
-        capacity_changed(s);
+        availability_changed(s);
         return true;
     });
-    cold_.erase(warm, cold_.end());
-    if (cold_.empty()) return;
-    double warm_readers = peers_[1], warm_writers = peers_[0];
-    for (const ServerIndex s : cold_) {
-        warm_readers -= reads(s);
-        warm_writers -= writes(s);
+    cold_servers_.erase(first_warm, cold_servers_.end());
+    if (cold_servers_.empty()) return;
+    double warm_prefill = role_sizes_[1], warm_decode = role_sizes_[0];
+    for (const ServerIndex s : cold_servers_) {
+        warm_prefill -= does_prefill(s);
+        warm_decode -= does_decode(s);
     }
-    const double tipping = terms_.tip_multiple * terms_.start_capacity * kColdPart;
-    for (const ServerIndex s : cold_) {
-        const double done = role_[s] == Role::reader ? reads_done_ : writes_done_;
-        const double peers = role_[s] == Role::reader ? warm_readers : warm_writers;
-        const double rate = peers > 0 ? done / kRateWindowS / peers : 0;
-        const double allowed = rate * tipping;
-        const double most = std::max(1.0, allowed * seconds(terms_.fall) * kColdBurst);
-        const double gained = allowed * (1 - kColdBurst) * seconds(now_ - cold_filled_[s]);
-        set_cold_level(s, std::min(most, cold_level_[s] + gained));
-        cold_filled_[s] = now_;
+    const double capacity_factor = terms_.tip_multiple * terms_.start_capacity * kSlowStartShare;
+    for (const ServerIndex s : cold_servers_) {
+        const double completed = role_[s] == Role::reader ? recent_prefills_ : recent_decodes_;
+        const double peers = role_[s] == Role::reader ? warm_prefill : warm_decode;
+        const double rate = peers > 0 ? completed / kRateWindowS / peers : 0;
+        const double allowed = rate * capacity_factor;
+        const double max_credit = std::max(1.0, allowed * seconds(terms_.fall) * kSlowStartBurstShare);
+        const double gained =
+            allowed * (1 - kSlowStartBurstShare) * seconds(now_ - slow_start_refilled_at_[s]);
+        set_slow_start_credit(s, std::min(max_credit, slow_start_credit_[s] + gained));
+        slow_start_refilled_at_[s] = now_;
     }
 }
 
-void Rules::set_cold_level(ServerIndex s, double level) {
-    const bool could_take = cold_level_[s] >= 1;
-    cold_level_[s] = level;
-    if (could_take != (level >= 1)) capacity_changed(s);
+void Rules::set_slow_start_credit(ServerIndex s, double credit) {
+    const bool could_receive = slow_start_credit_[s] >= 1;
+    slow_start_credit_[s] = credit;
+    if (could_receive != (credit >= 1)) availability_changed(s);
 }
 
-bool Rules::may_take(ServerIndex s) const { return ready(s) && (!is_cold(s) || cold_level_[s] >= 1); }
+bool Rules::may_receive(ServerIndex s) const {
+    return is_ready(s) && (!is_cold(s) || slow_start_credit_[s] >= 1);
+}
 
 }  // namespace copperfront
--- a/tests/core/cold_fleet_test.cpp
+++ b/tests/core/cold_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Many gateways that share nothing, and one server that comes back cold: what all of them send it together.
+// Many gateways that share nothing, and one server that restarts cold: what all of them together send it.
 #include <cmath>
 #include <cstdio>
 #include <deque>
@@ -10,13 +10,15 @@
 
 namespace {
 
-constexpr ServerIndex kCold = 0, kServers = 20;  // ten readers, then ten writers
-constexpr double kPerServer = 12;                // queries a second that a warm reader carries
+constexpr ServerIndex kColdServer = 0, kServers = 20;  // ten prefill servers, then ten decode servers
+constexpr double kRequestsPerServerS = 12;             // requests a second that a warm prefill server carries
 
 class Fleet {
   public:
-    // `hot`: every other query begins with one text, whose home is the cold server.
-    Fleet(std::size_t gateways, std::uint32_t seed, bool hot) : chance_(seed), hot_(hot), gates_(gateways) {
+    // `has_hot_prefix`: every other request begins with one shared prefix, whose preferred server is the cold
+    // one.
+    Fleet(std::size_t gateways, std::uint32_t seed, bool has_hot_prefix)
+        : random_(seed), has_hot_prefix_(has_hot_prefix), gateways_(gateways) {
         for (ServerIndex s = 0; s < kServers; ++s) {
             Listing l;
             l.server = s;
@@ -27,165 +29,169 @@
         for (std::size_t g = 0; g < gateways; ++g) start(g);
     }
 
-    // A fleet that has settled; then the server starts anew, a part of the gateways with it, and twice the
-    // traffic comes for a while.
-    void play(double restarted) {
+    // Lets the fleet settle. Then the server restarts, with a share of the gateways, and twice the traffic
+    // comes for a while.
+    void run_restart(double restarted) {
         run(ms(12000), 1.0);
-        list_[kCold].born = now_;
-        for (std::size_t g = 0; g < gates_.size(); ++g) {
-            if (static_cast<double>(g) < restarted * static_cast<double>(gates_.size()))
+        list_[kColdServer].born = now_;
+        for (std::size_t g = 0; g < gateways_.size(); ++g) {
+            if (static_cast<double>(g) < restarted * static_cast<double>(gateways_.size()))
                 start(g);
             else
-                gates_[g].rules->list_arrived(std::vector<Listing>{list_[kCold]}, false);
+                gateways_[g].router->list_arrived(std::vector<Listing>{list_[kColdServer]}, false);
         }
-        began_ = now_;
+        restarted_at_ = now_;
         run(ms(4000), 1.0);
         run(ms(3000), 2.0);
         run(ms(6000), 1.0);
     }
 
-    // The most that came to the cold server in any window of the terms.
-    std::size_t most_in_a_window() const {
-        std::size_t most = 0;
+    // The most attempts that reached the cold server in any window of the terms' length.
+    std::size_t max_in_a_window() const {
+        std::size_t max_count = 0;
         std::deque<Instant> window;
-        for (const Instant at : sent_cold_) {
-            if (at < began_ || at > began_ + terms_.warm_within) continue;
+        for (const Instant at : cold_sent_at_) {
+            if (at < restarted_at_ || at > restarted_at_ + terms_.warm_within) continue;
             window.push_back(at);
             while (at - window.front() > terms_.fall) window.pop_front();
-            most = std::max(most, window.size());
+            max_count = std::max(max_count, window.size());
         }
-        return most;
+        return max_count;
     }
     double allowed() const {
-        const double n = kPerServer * terms_.start_capacity * terms_.tip_multiple * terms_.fall.ms() / 1000;
+        const double n =
+            kRequestsPerServerS * terms_.start_capacity * terms_.tip_multiple * terms_.fall.ms() / 1000;
         return n + 2 * std::sqrt(n) + 2;
     }
-    std::size_t sent() const { return sent_cold_.size(); }
+    std::size_t sent_to_cold_server() const { return cold_sent_at_.size(); }
 
   private:
-    struct Gate {
+    struct Gateway {
         std::unique_ptr<FakeHost> host;
-        std::unique_ptr<Rules> rules;
+        std::unique_ptr<Rules> router;
         QueryIndex next = 0;
-        std::size_t seen = 0;  // attempts that have been taken up
-        std::uint32_t life = 0;
+        std::size_t attempts_processed = 0;
+        std::uint32_t incarnation = 0;
     };
-    struct Due {
+    struct PendingEnd {
         Instant at;
-        std::size_t gate;
-        std::uint32_t life;
-        QueryIndex query;
+        std::size_t gateway;
+        std::uint32_t incarnation;
+        QueryIndex request;
         ServerIndex server;
-        bool operator>(const Due& other) const { return at > other.at; }
+        bool operator>(const PendingEnd& other) const { return at > other.at; }
     };
 
-    // A text whose smallest lot is the cold server's, as the rules draw it.
-    static std::uint64_t home_text() {
-        for (std::uint64_t text = 1;; ++text) {
-            ServerIndex home = 0;
+    // A shared prefix with the cold server as its preferred server, by the router's rendezvous hashing.
+    static std::uint64_t prefix_preferring_cold_server() {
+        for (std::uint64_t prefix = 1;; ++prefix) {
+            ServerIndex preferred = 0;
             for (ServerIndex s = 1; s < kServers / 2; ++s)
-                if (mixed(text ^ mixed(mixed(s + 1))) < mixed(text ^ mixed(mixed(home + 1)))) home = s;
-            if (home == kCold) return text;
+                if (mixed(prefix ^ mixed(mixed(s + 1))) < mixed(prefix ^ mixed(mixed(preferred + 1))))
+                    preferred = s;
+            if (preferred == kColdServer) return prefix;
         }
     }
 
     void start(std::size_t g) {
-        Gate& gate = gates_[g];
-        ++gate.life;
-        gate.host = std::make_unique<FakeHost>();
-        gate.host->clock = now_;
-        terms_ = Story().terms;
-        terms_.gateways = static_cast<int>(gates_.size());
-        gate.rules = std::make_unique<Rules>(terms_, *gate.host, static_cast<std::uint32_t>(chance_()));
-        gate.rules->list_arrived(list_, true);
-        gate.next = 0;
-        gate.seen = 0;
+        Gateway& gateway = gateways_[g];
+        ++gateway.incarnation;
+        gateway.host = std::make_unique<FakeHost>();
+        gateway.host->clock = now_;
+        terms_ = RouterFixture().terms;
+        terms_.gateways = static_cast<int>(gateways_.size());
+        gateway.router =
+            std::make_unique<Rules>(terms_, *gateway.host, static_cast<std::uint32_t>(random_()));
+        gateway.router->list_arrived(list_, true);
+        gateway.next = 0;
+        gateway.attempts_processed = 0;
     }
 
-    void take_up(std::size_t g) {
-        Gate& gate = gates_[g];
-        for (; gate.seen < gate.host->attempts.size(); ++gate.seen) {
-            const StartedAttempt& l = gate.host->attempts[gate.seen];
-            if (l.server == kCold) sent_cold_.push_back(now_);
-            due_.push({now_ + ms(l.server < kServers / 2 ? 60 : 200), g, gate.life, l.query, l.server});
+    void process_attempts(std::size_t g) {
+        Gateway& gateway = gateways_[g];
+        for (; gateway.attempts_processed < gateway.host->attempts.size(); ++gateway.attempts_processed) {
+            const StartedAttempt& attempt = gateway.host->attempts[gateway.attempts_processed];
+            if (attempt.server == kColdServer) cold_sent_at_.push_back(now_);
+            pending_ends_.push({now_ + ms(attempt.server < kServers / 2 ? 60 : 200), g, gateway.incarnation,
+                                attempt.request, attempt.server});
         }
     }
 
-    void run(Span span, double load) {
-        const Instant until = now_ + span;
+    void run(Span duration, double load_factor) {
+        const Instant until = now_ + duration;
         const Span tick = ms(5);
-        const double rate = kPerServer * (kServers / 2) * load * tick.ms() / 1000;
+        const double rate = kRequestsPerServerS * (kServers / 2) * load_factor * tick.ms() / 1000;
         while (now_ < until) {
             now_ = now_ + tick;
-            while (!due_.empty() && due_.top().at <= now_) {
-                const Due d = due_.top();
-                due_.pop();
-                Gate& gate = gates_[d.gate];
-                if (gate.life != d.life) continue;
-                gate.host->clock = now_;
+            while (!pending_ends_.empty() && pending_ends_.top().at <= now_) {
+                const PendingEnd end = pending_ends_.top();
+                pending_ends_.pop();
+                Gateway& gateway = gateways_[end.gateway];
+                if (gateway.incarnation != end.incarnation) continue;
+                gateway.host->clock = now_;
                 Outcome o;
-                o.took = ms(d.server < kServers / 2 ? 60 : 200);
-                o.ending = d.server < kServers / 2 ? Ending::read : Ending::settled;
-                if (o.ending == Ending::settled) gate.rules->stream_began(d.query, ms(20));
+                o.took = ms(end.server < kServers / 2 ? 60 : 200);
+                o.ending = end.server < kServers / 2 ? Ending::read : Ending::settled;
+                if (o.ending == Ending::settled) gateway.router->stream_began(end.request, ms(20));
                 o.over = o.ending == Ending::settled;
-                gate.rules->attempt_ended(d.query, d.server, o);
-                take_up(d.gate);
+                gateway.router->attempt_ended(end.request, end.server, o);
+                process_attempts(end.gateway);
             }
-            for (int n = std::poisson_distribution<int>(rate)(chance_); n > 0; --n) {
+            for (int n = std::poisson_distribution<int>(rate)(random_); n > 0; --n) {
                 const std::size_t g =
-                    std::uniform_int_distribution<std::size_t>(0, gates_.size() - 1)(chance_);
-                Gate& gate = gates_[g];
-                gate.host->clock = now_;
+                    std::uniform_int_distribution<std::size_t>(0, gateways_.size() - 1)(random_);
+                Gateway& gateway = gateways_[g];
+                gateway.host->clock = now_;
                 Arrival a;
                 a.prompt_tokens = 1000;
-                a.session = chance_();
-                if (hot_ && chance_() % 2 == 0) {
-                    a.beginning = home_text();
+                a.session = random_();
+                if (has_hot_prefix_ && random_() % 2 == 0) {
+                    a.beginning = prefix_preferring_cold_server();
                     a.beginning_tokens = 800;
                 }
                 a.most_tokens = 200;
                 a.budget = ms(5000);
-                gate.rules->query_arrived(gate.next++, a);
-                take_up(g);
+                gateway.router->query_arrived(gateway.next++, a);
+                process_attempts(g);
             }
-            for (std::size_t g = 0; g < gates_.size(); ++g) {
-                Gate& gate = gates_[g];
-                gate.host->clock = now_;
-                while (!gate.host->timers.empty() && gate.host->timers.begin()->first <= now_) {
-                    const TimerKey key = gate.host->timers.begin()->second;
-                    gate.host->timers.erase(gate.host->timers.begin());
-                    gate.rules->timer_rang(key);
+            for (std::size_t g = 0; g < gateways_.size(); ++g) {
+                Gateway& gateway = gateways_[g];
+                gateway.host->clock = now_;
+                while (!gateway.host->timers.empty() && gateway.host->timers.begin()->first <= now_) {
+                    const TimerKey key = gateway.host->timers.begin()->second;
+                    gateway.host->timers.erase(gateway.host->timers.begin());
+                    gateway.router->timer_rang(key);
                 }
-                take_up(g);
+                process_attempts(g);
             }
         }
     }
 
-    std::minstd_rand chance_;
-    const bool hot_;
+    std::minstd_rand random_;
+    const bool has_hot_prefix_;
     Terms terms_;
-    Instant now_{1'000'000'000}, began_;
-    std::vector<Gate> gates_;
+    Instant now_{1'000'000'000}, restarted_at_;
+    std::vector<Gateway> gateways_;
     std::vector<Listing> list_;
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-    std::vector<Instant> sent_cold_;
+    std::priority_queue<PendingEnd, std::vector<PendingEnd>, std::greater<>> pending_ends_;
+    std::vector<Instant> cold_sent_at_;
 };
 
 }  // namespace
 
 int main() {
     setvbuf(stdout, nullptr, _IOLBF, 0);
-    bool well = true;
+    bool is_within_budget = true;
     for (const std::size_t gateways : {1U, 3U, 20U, 30U, 300U})
         for (const double restarted : {0.0, 0.7, 1.0})
             for (const std::uint32_t seed : {1U, 2U, 3U, 4U}) {
                 Fleet fleet(gateways, seed, seed > 2);
-                fleet.play(restarted);
-                const std::size_t most = fleet.most_in_a_window();
+                fleet.run_restart(restarted);
+                const std::size_t max_count = fleet.max_in_a_window();
                 std::printf(
                     "%zu gateways, %.1f of them new, seed %u: %zu in a window, %.1f allowed, %zu in all\n",
-                    gateways, restarted, seed, most, fleet.allowed(), fleet.sent());
-                well &= static_cast<double>(most) <= fleet.allowed();
+                    gateways, restarted, seed, max_count, fleet.allowed(), fleet.sent_to_cold_server());
+                is_within_budget &= static_cast<double>(max_count) <= fleet.allowed();
             }
-    assert(well);
+    assert(is_within_budget);
 }
--- a/tests/core/fake_host.h
+++ b/tests/core/fake_host.h
@@ -1,4 +1,4 @@
-// A host that only remembers what it was asked to do, and a small fleet to tell stories about.
+// A host that only records what it was asked to do, and a small fleet for scenarios.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace copperfront {
 
 struct StartedAttempt {
-    QueryIndex query;
+    QueryIndex request;
     ServerIndex server;
     Span limit;
     Span write_within;
@@ -23,45 +23,45 @@
   public:
     Instant clock{1'000'000'000};
     std::vector<StartedAttempt> attempts;
-    std::vector<QueryIndex> retracted, declined, given_up, released;
+    std::vector<QueryIndex> cancelled, rejected, abandoned, released;
     std::vector<ServerIndex> probed;
-    std::vector<std::string> notes;  // to peers
+    std::vector<std::string> peer_notes;
     std::multimap<Instant, TimerKey> timers;
     Span stay_away;
-    int subscribed = 0;
-    bool budget_spent = false;
+    int subscriptions = 0;
+    bool retry_budget_spent = false;
 
     Instant now() const override { return clock; }
-    void start_attempt(QueryIndex q, ServerIndex s, const AttemptLimits& limits) override {
-        attempts.push_back({q, s, limits.answer, limits.write});
+    void start_attempt(QueryIndex request, ServerIndex s, const AttemptLimits& limits) override {
+        attempts.push_back({request, s, limits.answer, limits.write});
     }
-    void retract(QueryIndex q, std::uint32_t) override { retracted.push_back(q); }
-    void decline(QueryIndex q, Span span) override {
-        declined.push_back(q);
-        stay_away = span;
+    void retract(QueryIndex request, std::uint32_t) override { cancelled.push_back(request); }
+    void decline(QueryIndex request, Span duration) override {
+        rejected.push_back(request);
+        stay_away = duration;
     }
-    void give_up(QueryIndex q) override { given_up.push_back(q); }
-    void release(QueryIndex q) override { released.push_back(q); }
-    bool may_attempt_again(QueryIndex, Ending) override { return !budget_spent; }
+    void give_up(QueryIndex request) override { abandoned.push_back(request); }
+    void release(QueryIndex request) override { released.push_back(request); }
+    bool may_attempt_again(QueryIndex, Ending) override { return !retry_budget_spent; }
     void probe(ServerIndex s) override { probed.push_back(s); }
-    void subscribe() override { ++subscribed; }
-    void tell_peers(std::string_view note) override { notes.emplace_back(note); }
-    void set_timer(Span span, TimerKey key) override { timers.emplace(clock + span, key); }
+    void subscribe() override { ++subscriptions; }
+    void tell_peers(std::string_view note) override { peer_notes.emplace_back(note); }
+    void set_timer(Span duration, TimerKey key) override { timers.emplace(clock + duration, key); }
     void log(std::string_view) override {}
 };
 
 constexpr Span ms(double v) { return {static_cast<std::int64_t>(v * 1000)}; }
 
-// Two readers (0, 1) and two writers (2, 3), all warm; reader 0 and writer 2 share a cell and the gateway's
-// zone.
-struct Story {
+// Two prefill servers (0, 1) and two decode servers (2, 3), all warm; servers 0 and 2 share a cell and the
+// gateway's zone.
+struct RouterFixture {
     FakeHost host;
     Terms terms;
-    std::unique_ptr<Rules> rules;
+    std::unique_ptr<Rules> router;
     std::vector<Listing> list;
     QueryIndex next = 0;
 
-    explicit Story(Effect effect = Effect::pure, Group group = Group::all) {
+    explicit RouterFixture(Effect effect = Effect::pure, Group group = Group::all) {
         Category c;
         c.effect = effect;
         c.group = group;
@@ -85,55 +85,58 @@
                 {3, 1, 1, 1, {}, Standing::ready}};
     }
     Rules& start() {
-        rules = std::make_unique<Rules>(terms, host, 7);
-        rules->list_arrived(list, true);
-        return *rules;
+        router = std::make_unique<Rules>(terms, host, 7);
+        router->list_arrived(list, true);
+        return *router;
     }
-    QueryIndex arrive(double prompt = 1000, std::uint64_t session = 0, Span budget = ms(5000)) {
+    QueryIndex arrive(double prompt_tokens = 1000, std::uint64_t session = 0, Span budget = ms(5000)) {
         Arrival a;
-        a.prompt_tokens = prompt;
+        a.prompt_tokens = prompt_tokens;
         a.session = session;
         a.most_tokens = 200;
         a.budget = budget;
-        rules->query_arrived(next, a);
+        router->query_arrived(next, a);
         return next++;
     }
-    const StartedAttempt& last() const { return host.attempts.back(); }
-    std::size_t sent() const { return host.attempts.size(); }
-    void ended(QueryIndex q, Ending ending, ServerIndex server, bool no_state = false, bool over = false) {
+    const StartedAttempt& last_attempt() const { return host.attempts.back(); }
+    std::size_t attempts_sent() const { return host.attempts.size(); }
+    void end_attempt(QueryIndex request, Ending ending, ServerIndex server, bool no_state = false,
+                     bool request_answered = false) {
         Outcome o;
         o.ending = ending;
         o.took = ms(20);
         o.no_state = no_state;
-        o.over = over;
-        rules->attempt_ended(q, server, o);
+        o.over = request_answered;
+        router->attempt_ended(request, server, o);
     }
-    void ended(QueryIndex q, Ending ending) { ended(q, ending, last().server); }
-    QueryIndex read_one(double prompt = 1000, std::uint64_t session = 0) {
-        const QueryIndex q = arrive(prompt, session);
-        ended(q, Ending::read);
-        return q;
+    void end_attempt(QueryIndex request, Ending ending) {
+        end_attempt(request, ending, last_attempt().server);
     }
-    void settle(QueryIndex q) {
-        const ServerIndex s = last().server;
-        rules->stream_began(q, ms(20));
-        ended(q, Ending::settled, s, false, true);
+    QueryIndex prefill_one(double prompt_tokens = 1000, std::uint64_t session = 0) {
+        const QueryIndex request = arrive(prompt_tokens, session);
+        end_attempt(request, Ending::read);
+        return request;
     }
-    void report(ServerIndex s, double memory, double unread = -1) {
-        rules->probe_answered(s, true, {memory, unread});
+    void complete(QueryIndex request) {
+        const ServerIndex s = last_attempt().server;
+        router->stream_began(request, ms(20));
+        end_attempt(request, Ending::settled, s, false, true);
     }
-    void list_again(ServerIndex s, Standing standing, Instant born = {}) {
+    void report(ServerIndex s, double memory, double queued_kilotokens = -1) {
+        router->probe_answered(s, true, {memory, queued_kilotokens});
+    }
+    void update_server(ServerIndex s, Standing standing, Instant born = {}) {
         list[s].standing = standing;
         list[s].born = born;
-        rules->list_arrived(std::vector<Listing>{list[s]}, false);
+        router->list_arrived(std::vector<Listing>{list[s]}, false);
     }
-    void pass(Span span) {
-        const Instant until = host.clock + span;
+    void advance(Span duration) {
+        const Instant until = host.clock + duration;
         while (!host.timers.empty() && host.timers.begin()->first <= until) {
             const auto [at, key] = *host.timers.begin();
             host.timers.erase(host.timers.begin());
             host.clock = std::max(host.clock, at);
-            rules->timer_rang(key);
+            router->timer_rang(key);
         }
         host.clock = until;
     }
--- a/tests/core/helpers_test.cpp
+++ b/tests/core/helpers_test.cpp
@@ -1,4 +1,4 @@
-// The small helpers of the rules.
+// Helpers of the router.
 #include "core/helpers.h"
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 namespace copperfront {
 namespace {
 
-TEST(Recent, KeepsTheNewestAndForgetsTheOldestPastTwoGenerations) {
-    constexpr std::size_t kMost = 1000;
-    Recent<std::size_t> recent(kMost);
-    for (std::size_t key = 1; key <= 5 * kMost; ++key) {
-        recent.keep(key, key);
-        const std::size_t newest = key > kMost ? key - kMost + 1 : 1;
-        ASSERT_NE(recent.find(newest), nullptr) << key;
-        EXPECT_EQ(*recent.find(newest), newest);
-        if (key > 2 * kMost) {
-            ASSERT_EQ(recent.find(key - 2 * kMost), nullptr) << key;
+TEST(GenerationalCache, KeepsTheNewestAndForgetsTheOldestPastTwoGenerations) {
+    constexpr std::size_t kCapacity = 1000;
+    GenerationalCache<std::size_t> cache(kCapacity);
+    for (std::size_t key = 1; key <= 5 * kCapacity; ++key) {
+        cache.put(key, key);
+        const std::size_t newest = key > kCapacity ? key - kCapacity + 1 : 1;
+        ASSERT_NE(cache.find(newest), nullptr) << key;
+        EXPECT_EQ(*cache.find(newest), newest);
+        if (key > 2 * kCapacity) {
+            ASSERT_EQ(cache.find(key - 2 * kCapacity), nullptr) << key;
         }
     }
 }
--- a/tests/core/repeats_test.cpp
+++ b/tests/core/repeats_test.cpp
@@ -6,104 +6,105 @@
 namespace copperfront {
 namespace {
 
-// A connection may come up long after the attempt was chosen, so the attempt carries what is left of the
+// A connection may be made long after the attempt was chosen, so the attempt carries what is left of the
 // window.
 TEST(RepeatWindow, FurtherAttemptMustBeWrittenWithinWhatIsLeft) {
-    Story story(Effect::receipted, Group::all);
-    story.start();
-    const QueryIndex request = story.read_one();
-    EXPECT_GT(story.last().write_within, ms(4900)) << "nothing may have run yet: as long as its client waits";
-    story.host.clock = story.host.clock + ms(300);
-    story.ended(request, Ending::error);
-    ASSERT_EQ(story.sent(), 3u);
-    EXPECT_EQ(story.last().write_within, ms(4700));
+    RouterFixture fixture(Effect::receipted, Group::all);
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    EXPECT_GT(fixture.last_attempt().write_within, ms(4900))
+        << "nothing may have run yet: as long as its client waits";
+    fixture.host.clock = fixture.host.clock + ms(300);
+    fixture.end_attempt(request, Ending::error);
+    ASSERT_EQ(fixture.attempts_sent(), 3u);
+    EXPECT_EQ(fixture.last_attempt().write_within, ms(4700));
 }
 
 TEST(RepeatWindow, RequestEndsAtOnceWhereItHasPassed) {
-    Story story(Effect::receipted, Group::all);
-    story.terms.categories[0].window = ms(200);
-    story.start();
-    const QueryIndex request = story.read_one();
-    story.host.clock = story.host.clock + ms(201);
-    story.ended(request, Ending::error);
-    EXPECT_EQ(story.sent(), 2u);
-    EXPECT_EQ(story.host.declined.size() + story.host.given_up.size(), 1u);
+    RouterFixture fixture(Effect::receipted, Group::all);
+    fixture.terms.categories[0].window = ms(200);
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    fixture.host.clock = fixture.host.clock + ms(201);
+    fixture.end_attempt(request, Ending::error);
+    EXPECT_EQ(fixture.attempts_sent(), 2u);
+    EXPECT_EQ(fixture.host.rejected.size() + fixture.host.abandoned.size(), 1u);
 }
 
-// Its prompt is read again, and meanwhile the window passes: the state is of no use to anybody.
+// The prompt is prefilled again, and meanwhile the window passes: the state is of no use any more.
 TEST(RepeatWindow, RequestEndsAtOnceWhereItPassesDuringTheSecondRead) {
-    Story story(Effect::receipted, Group::all);
-    story.terms.categories[0].window = ms(200);
-    story.start();
-    const QueryIndex request = story.read_one();
-    story.host.clock = story.host.clock + ms(100);
-    story.ended(request, Ending::broken);
-    ASSERT_EQ(story.sent(), 3u);
-    story.host.clock = story.host.clock + ms(150);
-    story.ended(request, Ending::read);
-    EXPECT_EQ(story.sent(), 3u);
-    EXPECT_EQ(story.host.declined.size() + story.host.given_up.size(), 1u);
-    EXPECT_FALSE(story.host.released.empty());
+    RouterFixture fixture(Effect::receipted, Group::all);
+    fixture.terms.categories[0].window = ms(200);
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    fixture.host.clock = fixture.host.clock + ms(100);
+    fixture.end_attempt(request, Ending::broken);
+    ASSERT_EQ(fixture.attempts_sent(), 3u);
+    fixture.host.clock = fixture.host.clock + ms(150);
+    fixture.end_attempt(request, Ending::read);
+    EXPECT_EQ(fixture.attempts_sent(), 3u);
+    EXPECT_EQ(fixture.host.rejected.size() + fixture.host.abandoned.size(), 1u);
+    EXPECT_FALSE(fixture.host.released.empty());
 }
 
-// A rejection tells its client that trying again is harmless. It is so only while the repeat would still be
-// known.
+// A rejection tells the client that sending the request again is harmless. That holds only while servers
+// would still recognise the repeat.
 TEST(RepeatWindow, RejectionIsGivenOnlyWhileAWholeFurtherTryIsKnown) {
     for (const bool known : {false, true}) {
-        Story story(Effect::receipted, Group::all);
-        story.terms.categories[0].window = known ? ms(60000) : ms(4000);
-        story.terms.max_attempts = 2;
-        story.start();
-        const QueryIndex request = story.read_one();
-        story.ended(request, Ending::error);
-        EXPECT_EQ(story.host.declined.size(), known ? 1u : 0u);
-        EXPECT_EQ(story.host.given_up.size(), known ? 0u : 1u);
+        RouterFixture fixture(Effect::receipted, Group::all);
+        fixture.terms.categories[0].window = known ? ms(60000) : ms(4000);
+        fixture.terms.max_attempts = 2;
+        fixture.start();
+        const QueryIndex request = fixture.prefill_one();
+        fixture.end_attempt(request, Ending::error);
+        EXPECT_EQ(fixture.host.rejected.size(), known ? 1u : 0u);
+        EXPECT_EQ(fixture.host.abandoned.size(), known ? 0u : 1u);
     }
 }
 
-// Without an attempt left its state is of no use: the final answer does not wait for a server.
+// Without an attempt left the state is of no use: the final answer does not wait for a server.
 TEST(LastAttempt, EndsItsRequestAtOnce) {
-    Story story;
-    story.terms.max_attempts = 2;
-    story.start();
-    const QueryIndex request = story.read_one();
-    story.ended(request, Ending::unreachable);
-    EXPECT_EQ(story.host.declined.size(), 1u);
-    EXPECT_FALSE(story.host.released.empty());
+    RouterFixture fixture;
+    fixture.terms.max_attempts = 2;
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    fixture.end_attempt(request, Ending::unreachable);
+    EXPECT_EQ(fixture.host.rejected.size(), 1u);
+    EXPECT_FALSE(fixture.host.released.empty());
 }
 
-// What a connection may take to come up is part of the window: an attempt that is chosen after that is not
-// made.
+// The time that a connection may take to be made is part of the window: an attempt that is chosen after that
+// is not made.
 TEST(RepeatWindow, LeavesAConnectionItsTime) {
-    Story story(Effect::receipted, Group::all);
-    story.terms.categories[0].window = ms(1000);
-    story.terms.connect_within = ms(400);
-    story.start();
-    const QueryIndex request = story.read_one();
-    story.host.clock = story.host.clock + ms(500);
-    story.ended(request, Ending::error);
-    ASSERT_EQ(story.sent(), 3u);
-    EXPECT_EQ(story.last().write_within, ms(100));
-    story.host.clock = story.host.clock + ms(150);
-    story.ended(request, Ending::error);
-    EXPECT_EQ(story.sent(), 3u);
+    RouterFixture fixture(Effect::receipted, Group::all);
+    fixture.terms.categories[0].window = ms(1000);
+    fixture.terms.connect_within = ms(400);
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    fixture.host.clock = fixture.host.clock + ms(500);
+    fixture.end_attempt(request, Ending::error);
+    ASSERT_EQ(fixture.attempts_sent(), 3u);
+    EXPECT_EQ(fixture.last_attempt().write_within, ms(100));
+    fixture.host.clock = fixture.host.clock + ms(150);
+    fixture.end_attempt(request, Ending::error);
+    EXPECT_EQ(fixture.attempts_sent(), 3u);
 }
 
-// A server's index is given to another one once it has gone: the group is that of the one that may have run
-// it.
+// A server's index is reused once the server is removed: the group is that of the server that may have run
+// the request.
 TEST(RepeatGroup, IsThatOfTheServerThatMayHaveRunItThoughItsIndexNamesAnother) {
-    Story story(Effect::receipted, Group::cell);
-    story.start();
-    const QueryIndex request = story.read_one();
-    const ServerIndex ran = story.last().server;
+    RouterFixture fixture(Effect::receipted, Group::cell);
+    fixture.start();
+    const QueryIndex request = fixture.prefill_one();
+    const ServerIndex ran = fixture.last_attempt().server;
     const ServerIndex other = ran == 2 ? 3 : 2;
-    // Both in the cells of each other now, as new servers.
-    std::swap(story.list[ran].cell, story.list[other].cell);
-    story.list_again(ran, Standing::ready, story.host.clock - ms(60000));
-    story.list_again(other, Standing::ready, story.host.clock - ms(60000));
-    story.ended(request, Ending::error, ran);
-    ASSERT_EQ(story.sent(), 3u);
-    EXPECT_EQ(story.last().server, other);
+    // Each is now in the cell of the other, as a new server.
+    std::swap(fixture.list[ran].cell, fixture.list[other].cell);
+    fixture.update_server(ran, Standing::ready, fixture.host.clock - ms(60000));
+    fixture.update_server(other, Standing::ready, fixture.host.clock - ms(60000));
+    fixture.end_attempt(request, Ending::error, ran);
+    ASSERT_EQ(fixture.attempts_sent(), 3u);
+    EXPECT_EQ(fixture.last_attempt().server, other);
 }
 
 }  // namespace
