--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -1,4 +1,4 @@
-// Where the time comes from: the event loop's steady clock in the program, a virtual one in tests.
+// Source of the current time: the event loop's steady clock in the program, a virtual clock in tests.
 #pragma once
 
 #include "units.h"
--- a/src/core/release_policy.cpp
+++ b/src/core/release_policy.cpp
@@ -5,12 +5,12 @@
 namespace copperfront::release_policy {
 namespace {
 
-constexpr double kGoldenPart = 0.618;
+constexpr double kInverseGoldenRatio = 0.618;
 
 }  // namespace
 
 std::size_t step_through_list(std::size_t entries) {
-    auto step = static_cast<std::size_t>(static_cast<double>(entries) * kGoldenPart);
+    auto step = static_cast<std::size_t>(static_cast<double>(entries) * kInverseGoldenRatio);
     while (std::gcd(step, entries) != 1) ++step;
     return step;
 }
--- a/src/core/release_policy.h
+++ b/src/core/release_policy.h
@@ -1,5 +1,5 @@
-// How releases of held state are sent: to which server next, how many at once, and when again. Every server
-// releases what is held for a request anywhere, so what counts is to reach one that runs in time. Free of
+// How releases of held state are sent: to which server next, how many at a time, and when again. Every server
+// accepts a release for a state held on any server, so it suffices to reach one that runs in time. Does no
 // I/O.
 #pragma once
 
@@ -10,46 +10,47 @@
 
 namespace copperfront::release_policy {
 
-// A release that is owed.
-inline constexpr Span kNextRoundAfter{80000};  // unanswered so long, twice as many further servers are told
-inline constexpr Span kAnswerWithin{400000};   // for one call, connecting included
+// Releases that are due.
+// Without an answer for this long, twice as many further servers are called.
+inline constexpr Span kNextRoundAfter{80000};
+inline constexpr Span kAnswerWithin{400000};  // for one call, including connecting
 inline constexpr Span kGiveUpAfter{10000000};
 inline constexpr std::size_t kMostCallsAtOnce = 24;
-// Once so many calls have not been answered, most of the fleet hangs: from then on a few are made at a time.
+// After this many unanswered calls most of the fleet hangs: from then on only a few are made at a time.
 inline constexpr std::uint32_t kManyTries = 64;
 inline constexpr std::uint32_t kCallsOfSlowRound = 2;
 inline constexpr Span kNextSlowRoundAfter{200000};
-// After an attempt that may be followed at once by another one of the same request.
+// Delay of a release after an attempt that may be followed immediately by another one of the same request.
 inline constexpr Span kBeforeFollowing{50000};
-// With a message unanswered and nothing heard since, a server may hang.
+// A server may hang once a message has been unanswered, and nothing received from it, for this long.
 inline constexpr Span kMayHangAfter{150000};
 
-// An attempt that ended unheard at a server which has not been heard from since.
+// Attempts that ended without an answer on a server that has sent nothing since.
 inline constexpr Span kFollowedAtMost{30000000};
-inline constexpr Span kFollowedAfterRemoval{10000000};  // where its server is no longer in the list
-inline constexpr Span kFollowedAnswerWithin{600000};    // else it is asked on another connection
-inline constexpr Span kAskAgainAfter{500000};           // where the connection failed
-// Once its server answers, a prefill may take a while: a release after the first time, and then in steps that
-// are shorter than a state may be held. A hand-over is over as soon as the server sees its close.
+inline constexpr Span kFollowedAfterRemoval{10000000};  // once its server is no longer in the list
+inline constexpr Span kFollowedAnswerWithin{600000};    // then the server is called on another connection
+inline constexpr Span kAskAgainAfter{500000};           // after a failed connection
+// Once its server answers, a prefill may still take a while: a release is sent after the first delay, then at
+// intervals shorter than the time a state may be held. A hand-over ends as soon as the server sees its close.
 inline constexpr Span kFirstReleaseAfter{250000}, kNextReleaseAfter{700000};
 inline constexpr std::uint32_t kMostAnswersOfPrefill = 4, kMostAnswersOfHandOver = 2;
 
-// Servers that were never heard from are told in steps of this length through the list, of so many entries:
-// each once, and far from those told last, as neighbours often fail together, like a zone.
+// Returns the stride with which servers that have never answered are called in a list of `entries`: each is
+// visited once, and far from those called last, as neighbours often fail together, for example as a zone.
 std::size_t step_through_list(std::size_t entries);
 
-// What is known of the server of an attempt that ended unheard.
+// What is known about the server of an attempt that ended without an answer.
 struct UnheardAttemptServer {
     Instant attempt_started, attempt_over;
-    Instant address_since;  // when it was first known at its present address
+    Instant address_since;  // when its present address was first known
     Instant last_heard;     // at that address; zero: never
-    Instant hung_until;     // the same; zero: it never has
+    Instant hung_until;     // at that address; zero: it never has
 };
-// Whether the attempt went to another address than its server has now. What ran there may run on, and what
-// the present process answers says nothing of it.
+// Whether the attempt was sent to a different address than its server has now. The process there may still
+// run, and an answer from the present process says nothing about it.
 bool has_moved(Instant attempt_started, Instant address_since);
-// Whether the attempt may still be taken up or end there: the server hangs, or it did when the attempt ended
-// and may be busy with what it had in hand then, or it has another address by now.
+// Whether the attempt may still be started or end on its server: the server hangs, or it did when the attempt
+// ended and may still be busy with its work of that time, or it has a different address now.
 bool may_end_late(const UnheardAttemptServer& server);
 
 }  // namespace copperfront::release_policy
--- a/src/core/sabotage.h
+++ b/src/core/sabotage.h
@@ -1,6 +1,6 @@
-// Faults put into the program on purpose, to see that its tests find them. Only a build with
-// COPPERFRONT_SABOTAGE has them, and each only where the environment names it; in any other build nothing of
-// this is left.
+// Faults built into the program to check that its tests find them. Only a build with COPPERFRONT_SABOTAGE
+// contains them, and a fault is active only if the environment names it; other builds contain none of this
+// code.
 #pragma once
 
 #ifdef COPPERFRONT_SABOTAGE
@@ -11,10 +11,10 @@
 namespace copperfront {
 
 enum class Sabotage {
-    release_told_once,             // not again after an attempt that was not heard to end
-    release_counts_while_waiting,  // though an attempt was out
+    release_told_once,             // not repeated after an attempt that ended without an answer
+    release_counts_while_waiting,  // although an attempt was in flight
     lease_never_ends,
-    lease_release_ends_hold,  // the release at the lease's end is the last one
+    lease_release_ends_hold,  // no release follows the one at the end of the lease
     release_overtakes_close,
     release_lost,
     refused_release_counts,
@@ -30,10 +30,10 @@
     stale_connection_reused,
     list_bound_small,  // 256 KiB
     list_given_up_early,
-    loop_stands_still,  // at each list
+    loop_stands_still,  // at each server list
     waiting_tried_once,
     change_between_watches_lost,
-    index_handed_on_early,  // of a removed server that still owes something
+    index_handed_on_early,  // of a removed server for which a release or an attempt is still pending
 };
 
 #ifdef COPPERFRONT_SABOTAGE
--- a/src/core/send_guard.cpp
+++ b/src/core/send_guard.cpp
@@ -7,17 +7,17 @@
 namespace copperfront {
 namespace {
 
-// Of the time in which a held state has to be released: how long the rest of an answer may take.
-constexpr double kAnswerCompletionPart = 0.35;
-// Far more than a close takes between two zones, also where a busy machine relays it late: 30 ms were seen
-// once between the call-off and the record of it at a server, with twelve busy threads on eight cores.
+// Share of the time limit on held states that the rest of an answer may take.
+constexpr double kAnswerCompletionShare = 0.35;
+// Well above the travel time of a close between two zones, also where a busy machine relays it late. Once,
+// with twelve busy threads on eight cores, 30 ms passed between a cancellation and its record at the server.
 constexpr Span kCloseTravelTime{20000};
-// A server may send an answer twice, the second some milliseconds after the first. Nothing tells it from the
-// answer to the next request on that connection, so none is sent there for so long.
-constexpr Span kRestBeforeReuse{20000};
-// New connections and requests on open ones keep coming for so long after SIGTERM, by the protocol.
-constexpr Span kStillAccepting{700000};
-// Slack of the protocol: on held states, and on the time told to a server.
+// A server may send an answer twice, the second some milliseconds after the first. It can't be distinguished
+// from the answer to the next request on that connection, so no request is sent there for this long.
+constexpr Span kMinIdleBeforeReuse{20000};
+// By the protocol, new connections and requests on open ones keep arriving for this long after SIGTERM.
+constexpr Span kAcceptAfterShutdown{700000};
+// Tolerances of the protocol: on held states, and on the deadline sent to a server.
 constexpr Span kReleaseSlack{300000};
 constexpr Span kDeadlineSlack{150000};
 
@@ -31,7 +31,7 @@
             return "client gone";
         case Denial::already_answered:
             return "already answered";
-        case Denial::attempt_still_out:
+        case Denial::attempt_in_flight:
             return "another attempt is still out";
         case Denial::effect_may_have_happened:
             return "its effect may have happened";
@@ -49,13 +49,13 @@
             return "nothing is held";
         case Denial::connection_unsafe:
             return "connection not safe to reuse";
-        case Denial::answer_owed:
+        case Denial::answer_pending:
             return "an answer is owed";
         case Denial::shutting_down:
             return "shutting down";
         case Denial::still_accepting:
             return "requests may still come";
-        case Denial::work_left:
+        case Denial::work_pending:
             return "work is left";
     }
     return "";
@@ -82,7 +82,7 @@
 
 Denial SendGuard::may_start(const AttemptStart& facts) {
     if (facts.answered) return count(Denial::already_answered);
-    if (facts.attempt_out) return count(Denial::attempt_still_out);
+    if (facts.attempt_out) return count(Denial::attempt_in_flight);
     if (facts.effect == Effect::effectful && facts.may_have_run) {
         return count(Denial::effect_may_have_happened);
     }
@@ -116,25 +116,28 @@
 }
 
 Span SendGuard::answer_completion_time() const {
-    return is_sabotaged(Sabotage::incomplete_answer_waits) ? Span{} : release_within_ * kAnswerCompletionPart;
+    return is_sabotaged(Sabotage::incomplete_answer_waits) ? Span{}
+                                                           : release_within_ * kAnswerCompletionShare;
 }
 
 Denial SendGuard::may_reuse(const PooledConnection& facts) {
     if (is_sabotaged(Sabotage::stale_connection_reused)) return Denial::none;
-    return facts.quiet && facts.rested >= kRestBeforeReuse ? Denial::none : count(Denial::connection_unsafe);
+    return facts.nothing_received && facts.idle_time >= kMinIdleBeforeReuse
+               ? Denial::none
+               : count(Denial::connection_unsafe);
 }
 
 Denial SendGuard::may_close(const ClientConnection& facts) {
-    return facts.request_open ? count(Denial::answer_owed) : Denial::none;
+    return facts.request_open ? count(Denial::answer_pending) : Denial::none;
 }
 
 Denial SendGuard::may_accept(bool shutting_down, Span since_asked) {
     if (is_sabotaged(Sabotage::late_requests_taken)) return Denial::none;
-    return shutting_down && since_asked >= kStillAccepting ? count(Denial::shutting_down) : Denial::none;
+    return shutting_down && since_asked >= kAcceptAfterShutdown ? count(Denial::shutting_down) : Denial::none;
 }
 
 Denial SendGuard::may_stop_listening(const Shutdown& facts) {
-    return facts.since_asked < kStillAccepting ? count(Denial::still_accepting) : Denial::none;
+    return facts.since_asked < kAcceptAfterShutdown ? count(Denial::still_accepting) : Denial::none;
 }
 
 Denial SendGuard::may_exit(const Shutdown& facts) {
@@ -142,7 +145,7 @@
     if (facts.listening) return count(Denial::still_accepting);
     const bool idle =
         facts.requests == 0 && facts.attempts == 0 && facts.releases == 0 && facts.unsent_answers == 0;
-    return idle ? Denial::none : count(Denial::work_left);
+    return idle ? Denial::none : count(Denial::work_pending);
 }
 
 bool SendGuard::is_release_late(Instant held_since, Instant now) const {
@@ -155,8 +158,8 @@
     return false;
 }
 
-bool SendGuard::check_deadline(Span told, Span left) {
-    if (told <= left + kDeadlineSlack) return true;
+bool SendGuard::check_deadline(Span sent, Span remaining) {
+    if (sent <= remaining + kDeadlineSlack) return true;
     violated(Invariant::deadline_not_overstated);
     return false;
 }
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -1,4 +1,5 @@
-// The terms of service a gateway is started with: what its site allows, asks and promises.
+// The terms of service that a gateway is started with: the limits, permissions and properties of its
+// platform.
 #pragma once
 
 #include <cstdint>
@@ -9,56 +10,60 @@
 namespace copperfront {
 
 enum class Role { reader, writer, mixed };
+// Whether a request may be repeated: always, within the window in which its servers drop repeats, or only if
+// it has not run.
 enum class Effect { pure, receipted, effectful };
 enum class Group { all, zone, cell };
 
 enum class Ending { settled, error, full, late, unreachable, broken, retracted, unsent, read };
-// How an attempt ended, in the words of the platform's protocol, for logs.
+// Describes how an attempt ended, in the words of the platform's protocol, for logs.
 const char* text_of(Ending ending);
 
+// Requirements of a class of requests.
 struct Category {
     Effect effect = Effect::pure;
-    Group group = Group::all;  // which servers drop a repeat of a receipted query
-    Span window;               // how long they remember it
+    Group group = Group::all;  // which servers drop a repeat of a receipted request
+    Span window;               // how long those servers remember the request
     Span latency_goal;
     Span goal_per_thousand;  // added to the latency goal for each 1,000 prompt tokens
-    Span token_gap;          // wanted time between tokens
+    Span token_gap;          // desired time between tokens
     bool stream = true;
 };
 
+// Properties of a kind of server.
 struct Kind {
     Role role = Role::mixed;
-    double memory_tokens = 0;  // 0: not told
+    double memory_tokens = 0;  // 0: not specified
 };
 
 struct Terms {
     std::vector<Category> categories;
     std::vector<Kind> kinds;
-    std::vector<double> quotas;  // queries a second by client group, over all gateways; 0: none told
+    std::vector<double> quotas;  // requests per second by client group, over all gateways; 0: none specified
 
     int gateways = 1;
     std::uint16_t zone = 0;
 
     bool cancel = false;
     bool probes = false;
-    bool peers = false;  // gateways may tell each other
+    bool peers = false;  // gateways may send notes to each other
     bool writers_read = false;
     bool ask_for_list = false;
-    bool reports_memory = false;  // load reports hold the share of memory held
-    bool reports_unread = false;  // load reports hold the tokens that wait to be read
+    bool reports_memory = false;  // load reports contain the share of memory in use
+    bool reports_unread = false;  // load reports contain the number of prompt tokens that wait for prefill
     bool reports_by_probe = false;
     std::uint32_t max_attempts = 1;
-    Span max_stay_away;
+    Span max_stay_away;  // longest time after which a rejected client is asked to come back
     double probe_fee = 0;
 
-    Span quantum;
-    Span connect_within;    // a connection to a server not made by then will not come; 0: not told
-    Span connections_rest;  // a connection to a server that is not used for so long is closed; 0: not told
+    Span quantum;           // resolution of the platform's clock
+    Span connect_within;    // a connection to a server not established by then has failed; 0: not specified
+    Span connections_rest;  // a connection to a server that is idle for this long is closed; 0: not specified
     Span release_within;
-    double start_capacity = 1;
-    double tip_multiple = 1;
-    Span fall;
-    Span warm_within;
+    double start_capacity = 1;  // share of its capacity that a cold server has
+    double tip_multiple = 1;    // multiple of that capacity past which a cold server is overloaded
+    Span fall;                  // window over which that load is measured
+    Span warm_within;           // a server is cold for this long after its start
 };
 
 }  // namespace copperfront
--- a/src/core/units.h
+++ b/src/core/units.h
@@ -1,4 +1,5 @@
-// Points in time and lengths of time, kept apart so that neither can stand in for the other.
+// Points in time and durations as distinct types, so that one cannot be used in place of the other. Both
+// count microseconds.
 #pragma once
 
 #include <compare>
--- a/src/door/names.h
+++ b/src/door/names.h
@@ -1,5 +1,5 @@
-// Ids at the door: what comes from outside under a name gets a small dense index, in the order of first
-// sight, and goes back out under the same name. Free of I/O.
+// Interning of external names: a name gets a small dense index, in order of first appearance, and is
+// translated back to the same name on output. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace copperfront {
 
-// Sessions and shared beginnings can be endless in number, so they become hashes (FNV-1a, 64 bits), not table
-// rows. The same name has the same mark at every gateway. 0 means none.
+// Returns the 64-bit FNV-1a hash of a name; 0 means no name. Sessions and shared prefixes are unbounded in
+// number, so they are hashed, not interned. The same name has the same hash at every gateway.
 inline std::uint64_t mark(std::string_view name) {
     if (name.empty()) return 0;
     std::uint64_t hash = 14695981039346656037ULL;
@@ -19,16 +19,16 @@
     return hash ? hash : 1;
 }
 
-// A table that only grows: for servers, zones, kinds, categories and client groups, which are bounded by the
-// list of servers and by the terms, never for what callers may invent.
+// A table of interned names that only grows: for servers, zones, kinds, categories and client groups, whose
+// number is bounded by the server list and the terms; not for names that clients can make up.
 class Names {
   public:
     std::uint32_t index(const std::string& name) {
-        const auto [it, fresh] = index_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
-        if (fresh) names_.push_back(name);
+        const auto [it, inserted] = index_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
+        if (inserted) names_.push_back(name);
         return it->second;
     }
-    // Null: never seen.
+    // Null: the name is not in the table.
     const std::uint32_t* find(const std::string& name) const {
         const auto it = index_.find(name);
         return it == index_.end() ? nullptr : &it->second;
--- a/src/routes/route_table.cpp
+++ b/src/routes/route_table.cpp
@@ -6,54 +6,58 @@
 namespace copperfront {
 namespace {
 
-bool sized(const RouteMatch& r) { return r.prompt_over > 0 || r.prompt_under < kNoLimit; }
+bool has_prompt_range(const RouteMatch& route) {
+    return route.prompt_over > 0 || route.prompt_under < kNoLimit;
+}
 
-// Bits of a shape: what a route asks for.
-constexpr int kCategory = 8, kGroup = 4, kListener = 2, kAttribute = 1;
+// Bits of a condition mask: which conditions a route has.
+constexpr int kCategoryBit = 8, kClientGroupBit = 4, kListenerBit = 2, kAttributeBit = 1;
 
 }  // namespace
 
-bool fits(const RouteMatch& r, const RouteQuery& q) {
-    if (r.category != kAny && r.category != q.category) return false;
-    if (r.client_group != kAny && r.client_group != q.client_group) return false;
-    if (r.listener != kAny && r.listener != q.listener) return false;
-    if (q.prompt_tokens < r.prompt_over || q.prompt_tokens >= r.prompt_under) return false;
-    return std::includes(q.attributes.begin(), q.attributes.end(), r.attributes.begin(), r.attributes.end());
+bool matches(const RouteMatch& route, const RouteQuery& request) {
+    if (route.category != kAny && route.category != request.category) return false;
+    if (route.client_group != kAny && route.client_group != request.client_group) return false;
+    if (route.listener != kAny && route.listener != request.listener) return false;
+    if (request.prompt_tokens < route.prompt_over || request.prompt_tokens >= route.prompt_under)
+        return false;
+    return std::includes(request.attributes.begin(), request.attributes.end(), route.attributes.begin(),
+                         route.attributes.end());
 }
 
-int conditions(const RouteMatch& r) {
-    return (r.category != kAny) + (r.client_group != kAny) + (r.listener != kAny) +
-           static_cast<int>(r.attributes.size()) + sized(r);
+int conditions(const RouteMatch& route) {
+    return (route.category != kAny) + (route.client_group != kAny) + (route.listener != kAny) +
+           static_cast<int>(route.attributes.size()) + has_prompt_range(route);
 }
 
-bool goes_first(const RouteMatch& a, const RouteMatch& b) {
+bool takes_precedence(const RouteMatch& a, const RouteMatch& b) {
     if (conditions(a) != conditions(b)) return conditions(a) > conditions(b);
     if ((a.category != kAny) != (b.category != kAny)) return a.category != kAny;
     if ((a.client_group != kAny) != (b.client_group != kAny)) return a.client_group != kAny;
     if ((a.listener != kAny) != (b.listener != kAny)) return a.listener != kAny;
     if (a.attributes.size() != b.attributes.size()) return a.attributes.size() > b.attributes.size();
-    const double wide_a = a.prompt_under - a.prompt_over, wide_b = b.prompt_under - b.prompt_over;
-    if (wide_a != wide_b) return wide_a < wide_b;
-    return true;  // a stands first
+    const double width_a = a.prompt_under - a.prompt_over, width_b = b.prompt_under - b.prompt_over;
+    if (width_a != width_b) return width_a < width_b;
+    return true;  // a comes first in the file
 }
 
-bool same(const RouteMatch& a, const RouteMatch& b) {
+bool has_same_conditions(const RouteMatch& a, const RouteMatch& b) {
     return a.category == b.category && a.client_group == b.client_group && a.listener == b.listener &&
            a.attributes == b.attributes && a.prompt_over == b.prompt_over && a.prompt_under == b.prompt_under;
 }
 
-std::size_t RouteTable::FaceHash::operator()(const Face& f) const {
+std::size_t RouteTable::IndexKeyHash::operator()(const IndexKey& key) const {
     std::uint64_t x = 0x9e3779b97f4a7c15ULL;
-    for (const std::uint32_t part : {f.category, f.client_group, f.listener, f.attribute}) {
+    for (const std::uint32_t part : {key.category, key.client_group, key.listener, key.attribute}) {
         x = (x ^ part) * 0xbf58476d1ce4e5b9ULL;
         x ^= x >> 29;
     }
     return static_cast<std::size_t>(x);
 }
 
-int RouteTable::shape(const RouteMatch& r) {
-    return (r.category != kAny ? kCategory : 0) | (r.client_group != kAny ? kGroup : 0) |
-           (r.listener != kAny ? kListener : 0) | (!r.attributes.empty() ? kAttribute : 0);
+int RouteTable::condition_mask(const RouteMatch& route) {
+    return (route.category != kAny ? kCategoryBit : 0) | (route.client_group != kAny ? kClientGroupBit : 0) |
+           (route.listener != kAny ? kListenerBit : 0) | (!route.attributes.empty() ? kAttributeBit : 0);
 }
 
 RouteTable::RouteTable(std::vector<RouteMatch> routes) : routes_(std::move(routes)), rank_(routes_.size()) {
@@ -61,58 +65,63 @@
     std::iota(order.begin(), order.end(), 0U);
     std::sort(order.begin(), order.end(), [&](std::uint32_t a, std::uint32_t b) {
         if (a == b) return false;
-        return a < b ? goes_first(routes_[a], routes_[b]) : !goes_first(routes_[b], routes_[a]);
+        return a < b ? takes_precedence(routes_[a], routes_[b]) : !takes_precedence(routes_[b], routes_[a]);
     });
     for (std::uint32_t n = 0; n < order.size(); ++n) {
-        const RouteMatch& r = routes_[order[n]];
+        const RouteMatch& route = routes_[order[n]];
         rank_[order[n]] = n;
-        faces_[{r.category, r.client_group, r.listener, r.attributes.empty() ? kAny : r.attributes.front()}]
+        index_[{route.category, route.client_group, route.listener,
+                route.attributes.empty() ? kAny : route.attributes.front()}]
             .push_back(order[n]);
-        if (std::find(shapes_.begin(), shapes_.end(), shape(r)) == shapes_.end()) shapes_.push_back(shape(r));
+        if (std::find(condition_masks_.begin(), condition_masks_.end(), condition_mask(route)) ==
+            condition_masks_.end())
+            condition_masks_.push_back(condition_mask(route));
     }
 }
 
-std::uint32_t RouteTable::find(const RouteQuery& q) const {
+std::uint32_t RouteTable::find(const RouteQuery& request) const {
     std::uint32_t best = kAny;
-    const auto look = [&](const Face& face) {
-        const auto it = faces_.find(face);
-        if (it == faces_.end()) return;
-        for (const std::uint32_t place : it->second) {
-            if (best != kAny && rank_[place] >= rank_[best]) return;
-            if (!fits(routes_[place], q)) continue;
-            best = place;
+    const auto search = [&](const IndexKey& key) {
+        const auto it = index_.find(key);
+        if (it == index_.end()) return;
+        for (const std::uint32_t index : it->second) {
+            if (best != kAny && rank_[index] >= rank_[best]) return;
+            if (!matches(routes_[index], request)) continue;
+            best = index;
             return;
         }
     };
-    for (const int s : shapes_) {
-        Face face{s & kCategory ? q.category : kAny, s & kGroup ? q.client_group : kAny,
-                  s & kListener ? q.listener : kAny, kAny};
-        if (!(s & kAttribute)) {
-            look(face);
+    for (const int mask : condition_masks_) {
+        IndexKey key{mask & kCategoryBit ? request.category : kAny,
+                     mask & kClientGroupBit ? request.client_group : kAny,
+                     mask & kListenerBit ? request.listener : kAny, kAny};
+        if (!(mask & kAttributeBit)) {
+            search(key);
             continue;
         }
-        // A route stands under the least of its attributes, which the query must have as well.
-        for (const std::uint32_t attribute : q.attributes) {
-            face.attribute = attribute;
-            look(face);
+        // A route is indexed under the least of its attributes, which the request must have as well.
+        for (const std::uint32_t attribute : request.attributes) {
+            key.attribute = attribute;
+            search(key);
         }
     }
     return best;
 }
 
-std::uint32_t RouteTable::scan(const RouteQuery& q) const {
+std::uint32_t RouteTable::scan(const RouteQuery& request) const {
     std::uint32_t best = kAny;
-    for (std::uint32_t place = 0; place < routes_.size(); ++place)
-        if (fits(routes_[place], q) && (best == kAny || rank_[place] < rank_[best])) best = place;
+    for (std::uint32_t index = 0; index < routes_.size(); ++index)
+        if (matches(routes_[index], request) && (best == kAny || rank_[index] < rank_[best])) best = index;
     return best;
 }
 
-std::vector<std::uint32_t> RouteTable::all_that_fit(const RouteQuery& q) const {
-    std::vector<std::uint32_t> out;
-    for (std::uint32_t place = 0; place < routes_.size(); ++place)
-        if (fits(routes_[place], q)) out.push_back(place);
-    std::sort(out.begin(), out.end(), [&](std::uint32_t a, std::uint32_t b) { return rank_[a] < rank_[b]; });
-    return out;
+std::vector<std::uint32_t> RouteTable::all_that_fit(const RouteQuery& request) const {
+    std::vector<std::uint32_t> matching;
+    for (std::uint32_t index = 0; index < routes_.size(); ++index)
+        if (matches(routes_[index], request)) matching.push_back(index);
+    std::sort(matching.begin(), matching.end(),
+              [&](std::uint32_t a, std::uint32_t b) { return rank_[a] < rank_[b]; });
+    return matching;
 }
 
 }  // namespace copperfront
--- a/src/routes/route_table.h
+++ b/src/routes/route_table.h
@@ -1,9 +1,9 @@
-// Which route a query takes: the most specific one that it fits, by an order that can be explained. Built
-// once from the terms and never changed; a reload builds another. Free of I/O.
+// Selects the route of a request: the most specific one that matches, by a fixed order of precedence. The
+// table is built once from the terms and is immutable; a reload builds another. Does no I/O.
 //
-// Of two routes that a query fits, the one with more conditions goes first; then the one whose first
-// condition of these the other lacks: category, client group, listener, more attributes, prompt size; then
-// the one with the narrower range of prompt sizes; then the one that stands first in the file.
+// Of two matching routes the one with more conditions takes precedence; then the one that has the first
+// condition which the other lacks, in this order: category, client group, listener, more attributes, prompt
+// size; then the one with the narrower range of prompt sizes; then the one that comes first in the file.
 #pragma once
 
 #include <cstdint>
@@ -18,58 +18,59 @@
 
 constexpr std::uint32_t kAny = ~std::uint32_t{0};
 
-// Conditions of a route; kAny, no attributes and the widest range fit every query.
+// Conditions of a route; kAny, no attributes and the widest range match every request.
 struct RouteMatch {
     std::uint32_t category = kAny, client_group = kAny, listener = kAny;
-    std::vector<std::uint32_t> attributes;            // all of them are wanted; sorted
-    double prompt_over = 0, prompt_under = kNoLimit;  // tokens; from the first, and below the second
+    std::vector<std::uint32_t> attributes;            // all are required; sorted
+    double prompt_over = 0, prompt_under = kNoLimit;  // tokens; range [prompt_over, prompt_under)
 };
 
-// What is known of a query when it comes.
+// What is known about a request when it arrives.
 struct RouteQuery {
     std::uint32_t category = kAny, client_group = kAny, listener = kAny;
     std::vector<std::uint32_t> attributes;  // sorted
     double prompt_tokens = 0;
 };
 
-bool fits(const RouteMatch& route, const RouteQuery& query);
-// Whether `a` goes before `b`, which stands later in the file.
-bool goes_first(const RouteMatch& a, const RouteMatch& b);
-// Whether both ask for the same, so that the later can never be taken.
-bool same(const RouteMatch& a, const RouteMatch& b);
+bool matches(const RouteMatch& route, const RouteQuery& request);
+// Whether `a` takes precedence over `b`, which comes later in the file.
+bool takes_precedence(const RouteMatch& a, const RouteMatch& b);
+// Whether both have the same conditions, so that the later one can never be taken.
+bool has_same_conditions(const RouteMatch& a, const RouteMatch& b);
 int conditions(const RouteMatch& route);
 
 class RouteTable {
   public:
     RouteTable() = default;
-    // In the order of the file. Places in this vector are what find() returns.
+    // `routes`: in the order of the file. find() returns indices of this vector.
     explicit RouteTable(std::vector<RouteMatch> routes);
 
-    // kAny: no route fits.
-    std::uint32_t find(const RouteQuery& query) const;
-    // The same by looking at every route: what the index is measured and tested against.
-    std::uint32_t scan(const RouteQuery& query) const;
-    // Every route that fits, the one that is taken first.
-    std::vector<std::uint32_t> all_that_fit(const RouteQuery& query) const;
-    const RouteMatch& at(std::uint32_t place) const { return routes_[place]; }
+    // Returns the matching route with the highest precedence; kAny: none matches.
+    std::uint32_t find(const RouteQuery& request) const;
+    // The same by a linear scan of all routes: the reference for benchmarks and tests of the index.
+    std::uint32_t scan(const RouteQuery& request) const;
+    // All matching routes, in order of precedence.
+    std::vector<std::uint32_t> all_that_fit(const RouteQuery& request) const;
+    const RouteMatch& at(std::uint32_t index) const { return routes_[index]; }
     std::size_t size() const { return routes_.size(); }
 
   private:
-    // Routes by which of category, client group, listener and a first attribute they ask for, and for what. A
-    // query looks only under the sets of conditions that some route has.
-    struct Face {
+    // Key of a route in the hash index: its category, client group, listener and first attribute, each kAny
+    // if the route has no such condition. A lookup visits only the combinations of conditions that some route
+    // has.
+    struct IndexKey {
         std::uint32_t category, client_group, listener, attribute;
-        bool operator==(const Face&) const = default;
+        bool operator==(const IndexKey&) const = default;
     };
-    struct FaceHash {
-        std::size_t operator()(const Face& f) const;
+    struct IndexKeyHash {
+        std::size_t operator()(const IndexKey& key) const;
     };
-    static int shape(const RouteMatch& route);
+    static int condition_mask(const RouteMatch& route);
     std::vector<RouteMatch> routes_;
-    std::vector<std::uint32_t> rank_;  // by place: the order in which routes are tried
-    std::unordered_map<Face, std::vector<std::uint32_t>, FaceHash>
-        faces_;                // places, in the order of their rank
-    std::vector<int> shapes_;  // of conditions that some route has
+    std::vector<std::uint32_t> rank_;  // by index in routes_: order of precedence
+    std::unordered_map<IndexKey, std::vector<std::uint32_t>, IndexKeyHash>
+        index_;                         // indices in routes_, in the order of their rank
+    std::vector<int> condition_masks_;  // combinations of conditions that some route has
 };
 
 }  // namespace copperfront
--- a/src/watching/watching.cpp
+++ b/src/watching/watching.cpp
@@ -3,96 +3,97 @@
 namespace copperfront {
 
 Watching::Watching(const Terms& terms, Hooks hooks, std::uint32_t seed)
-    : hooks_(std::move(hooks)), rules_(terms, *this, seed) {}
+    : hooks_(std::move(hooks)), router_(terms, *this, seed) {}
 
-Watching::Seen& Watching::seen(QueryIndex query) {
-    if (query >= seen_.size()) seen_.resize(query + 1);
-    return seen_[query];
+Watching::RequestState& Watching::state_of(QueryIndex request) {
+    if (request >= states_.size()) states_.resize(request + 1);
+    return states_[request];
 }
 
-void Watching::query_came(QueryIndex query, const Arrival& facts) {
-    seen(query) = {};
-    seen(query).known = true;
-    rules_.query_arrived(query, facts);
+void Watching::query_came(QueryIndex request, const Arrival& facts) {
+    state_of(request) = {};
+    state_of(request).tracked = true;
+    router_.query_arrived(request, facts);
 }
 
-void Watching::start_attempt(QueryIndex query, ServerIndex server, const AttemptLimits&) {
-    Seen& s = seen(query);
-    s.out = true;
-    s.called_off = false;
-    s.would = server;
+void Watching::start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits&) {
+    RequestState& state = state_of(request);
+    state.shadow_in_flight = true;
+    state.shadow_cancelled = false;
+    state.shadow_server = server;
 }
 
-void Watching::retract(QueryIndex query, std::uint32_t) { seen(query).called_off = true; }
+void Watching::retract(QueryIndex request, std::uint32_t) { state_of(request).shadow_cancelled = true; }
 
-void Watching::started(QueryIndex query, ServerIndex server, bool reading) {
-    Seen& s = seen(query);
-    s.made = server;
-    s.reading = reading;
-    s.compared = false;
+void Watching::started(QueryIndex request, ServerIndex server, bool is_prefill) {
+    RequestState& state = state_of(request);
+    state.real_server = server;
+    state.is_prefill = is_prefill;
+    state.compared = false;
 }
 
-// Once for each attempt that was made, when it first tells something: the other rules may act a little later
-// than these.
-void Watching::compare(Seen& s) {
-    if (s.compared || s.over) return;
-    s.compared = true;
-    if (!s.out) {
+// Called once for each real attempt, at its first event: the shadow router may act a little later than the
+// real one.
+void Watching::compare(RequestState& state) {
+    if (state.compared || state.shadow_ended) return;
+    state.compared = true;
+    if (!state.shadow_in_flight) {
         ++differences_.held;
-    } else if (s.would == s.made) {
+    } else if (state.shadow_server == state.real_server) {
         ++differences_.alike;
     } else {
-        ++(s.reading ? differences_.reader : differences_.writer);
+        ++(state.is_prefill ? differences_.reader : differences_.writer);
     }
 }
 
-void Watching::stream_began(QueryIndex query, Span took) {
-    Seen& s = seen(query);
-    if (!s.known) return;
-    compare(s);
-    if (s.out && !s.over) rules_.stream_began(query, took);
+void Watching::stream_began(QueryIndex request, Span took) {
+    RequestState& state = state_of(request);
+    if (!state.tracked) return;
+    compare(state);
+    if (state.shadow_in_flight && !state.shadow_ended) router_.stream_began(request, took);
 }
 
-void Watching::attempt_ended(QueryIndex query, ServerIndex server, const Outcome& outcome) {
-    Seen& s = seen(query);
-    if (!s.known) return;
-    compare(s);
-    if (s.called_off && !s.over && outcome.ending != Ending::retracted) ++differences_.called_off;
-    s.out = s.called_off = false;
-    rules_.attempt_ended(query, server, outcome);
+void Watching::attempt_ended(QueryIndex request, ServerIndex server, const Outcome& outcome) {
+    RequestState& state = state_of(request);
+    if (!state.tracked) return;
+    compare(state);
+    if (state.shadow_cancelled && !state.shadow_ended && outcome.ending != Ending::retracted)
+        ++differences_.called_off;
+    state.shadow_in_flight = state.shadow_cancelled = false;
+    router_.attempt_ended(request, server, outcome);
 }
 
-void Watching::query_ended(QueryIndex query, bool settled) {
-    Seen& s = seen(query);
-    if (!s.known || s.answered) return;
-    s.answered = true;
-    if (s.over && settled) ++differences_.ended;
-    if (!s.over && !settled) ++differences_.went_on;
-    if (s.over) return;
-    s.over = true;
-    rules_.query_left(query);
+void Watching::query_ended(QueryIndex request, bool completed) {
+    RequestState& state = state_of(request);
+    if (!state.tracked || state.answered) return;
+    state.answered = true;
+    if (state.shadow_ended && completed) ++differences_.ended;
+    if (!state.shadow_ended && !completed) ++differences_.went_on;
+    if (state.shadow_ended) return;
+    state.shadow_ended = true;
+    router_.query_left(request);
 }
 
-// Against an attempt of the other rules that was never made, so that no end of it will come.
-void Watching::settle_books(QueryIndex query) {
-    Seen& s = seen(query);
-    if (!s.out) return;
-    s.out = false;
+// Ends an attempt of the shadow router that was never made, as no end of it will ever be reported.
+void Watching::end_unmade_attempt(QueryIndex request) {
+    RequestState& state = state_of(request);
+    if (!state.shadow_in_flight) return;
+    state.shadow_in_flight = false;
     Outcome outcome;
     outcome.ending = Ending::unsent;
     outcome.over = true;
-    rules_.attempt_ended(query, s.would, outcome);
+    router_.attempt_ended(request, state.shadow_server, outcome);
 }
 
-void Watching::query_closed(QueryIndex query) {
-    if (!seen(query).known) return;
-    query_ended(query, true);
-    settle_books(query);
-    seen(query).known = false;
+void Watching::query_closed(QueryIndex request) {
+    if (!state_of(request).tracked) return;
+    query_ended(request, true);
+    end_unmade_attempt(request);
+    state_of(request).tracked = false;
 }
 
 void Watching::probe_answered(ServerIndex server, bool answered, const LoadReport& report) {
-    rules_.probe_answered(server, answered, report);
+    router_.probe_answered(server, answered, report);
 }
 
 }  // namespace copperfront
--- a/src/watching/watching.h
+++ b/src/watching/watching.h
@@ -1,10 +1,10 @@
-// Watches what other terms would decide. It plays a second set of rules beside the desk's own, tells it what
-// the desk met, and counts by kind where it would have decided otherwise. Nothing that it does reaches the
-// world: its attempts, probes, notes to peers and answers are counted and dropped. Free of I/O and clocks.
+// Shadow evaluation of other terms: runs a second router beside the dispatcher's own, feeds it the same
+// events, and counts by kind where it would have decided otherwise. It has no outside effect: its attempts,
+// probes, notes to peers and answers are counted and dropped. Does no I/O and has no clock of its own.
 //
-// After each attempt the two are in step again, as both learn what became of the one that was made. What
-// hangs on acts that were never carried out (a probe's answer, a peer's note) is not seen. With the desk's
-// own seed ties fall alike in both, and the same terms differ in nothing.
+// After each attempt both routers are in step again, as both learn the outcome of the attempt that was really
+// made. Consequences of actions that were never carried out (the answer to a probe, a note of a peer) are not
+// seen. With the dispatcher's own seed both break ties alike, so identical terms show no differences.
 #pragma once
 
 #include <cstdint>
@@ -16,52 +16,54 @@
 
 namespace copperfront {
 
+// Decisions of the shadow router compared with the real ones.
 struct Differences {
-    std::uint64_t alike = 0;              // attempts that would have gone to the same server
-    std::uint64_t reader = 0;             // read elsewhere
-    std::uint64_t writer = 0;             // handed over elsewhere
-    std::uint64_t held = 0;               // not sent by the time that this one was over
-    std::uint64_t ended = 0;              // declined or given up, where it was settled
-    std::uint64_t went_on = 0;            // not declined or given up, where it was
-    std::uint64_t called_off = 0;         // where this one was left to end
-    std::uint64_t probes = 0, notes = 0;  // that would have been sent
+    std::uint64_t alike = 0;              // attempts that would have been sent to the same server
+    std::uint64_t reader = 0;             // prefills that would have been sent to another server
+    std::uint64_t writer = 0;             // hand-overs that would have been sent to another server
+    std::uint64_t held = 0;               // attempts not sent by the first event of the real one
+    std::uint64_t ended = 0;              // requests rejected or abandoned that were really completed
+    std::uint64_t went_on = 0;            // requests continued that were really rejected or abandoned
+    std::uint64_t called_off = 0;         // attempts cancelled where the real one was not
+    std::uint64_t probes = 0, notes = 0;  // probes and notes to peers that would have been sent
 };
 
 class Watching : private Host {
   public:
     struct Hooks {
         std::function<Instant()> now;
-        std::function<void(Span from_now, TimerKey key)> set_timer;  // Watching::timer_rang is wanted then
+        std::function<void(Span from_now, TimerKey key)> set_timer;  // has to call Watching::timer_rang then
     };
     Watching(const Terms& terms, Hooks hooks, std::uint32_t seed);
 
-    // What the desk meets, in its order; attempts of second copies are left out.
-    void list_arrived(std::span<const Listing> entries, bool whole) { rules_.list_arrived(entries, whole); }
-    void list_missed() { rules_.list_missed(); }
-    void query_came(QueryIndex query, const Arrival& facts);
-    void started(QueryIndex query, ServerIndex server, bool reading);
-    void stream_began(QueryIndex query, Span took);
-    void attempt_ended(QueryIndex query, ServerIndex server, const Outcome& outcome);
-    void query_ended(QueryIndex query, bool settled);
-    void query_closed(QueryIndex query);
+    // The events of the dispatcher, in its order, without those of hedged attempts.
+    void list_arrived(std::span<const Listing> entries, bool whole) { router_.list_arrived(entries, whole); }
+    void list_missed() { router_.list_missed(); }
+    void query_came(QueryIndex request, const Arrival& facts);
+    void started(QueryIndex request, ServerIndex server, bool is_prefill);
+    void stream_began(QueryIndex request, Span took);
+    void attempt_ended(QueryIndex request, ServerIndex server, const Outcome& outcome);
+    void query_ended(QueryIndex request, bool completed);
+    void query_closed(QueryIndex request);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
-    void timer_rang(TimerKey key) { rules_.timer_rang(key); }
+    void timer_rang(TimerKey key) { router_.timer_rang(key); }
 
     const Differences& differences() const { return differences_; }
 
   private:
-    struct Seen {
-        bool known = false, reading = false, compared = false;  // of the attempt that was made
-        ServerIndex made = 0;
-        bool out = false, called_off = false, over = false;  // of the other rules
-        ServerIndex would = 0;
-        bool answered = false;  // the query has had its final answer
+    struct RequestState {
+        bool tracked = false, is_prefill = false, compared = false;  // of the real attempt
+        ServerIndex real_server = 0;
+        // Of the shadow router.
+        bool shadow_in_flight = false, shadow_cancelled = false, shadow_ended = false;
+        ServerIndex shadow_server = 0;
+        bool answered = false;  // the request has had its final answer
     };
     Instant now() const override { return hooks_.now(); }
-    void start_attempt(QueryIndex query, ServerIndex server, const AttemptLimits& limits) override;
-    void retract(QueryIndex query, std::uint32_t attempt) override;
-    void decline(QueryIndex query, Span) override { seen(query).over = true; }
-    void give_up(QueryIndex query) override { seen(query).over = true; }
+    void start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) override;
+    void retract(QueryIndex request, std::uint32_t attempt) override;
+    void decline(QueryIndex request, Span) override { state_of(request).shadow_ended = true; }
+    void give_up(QueryIndex request) override { state_of(request).shadow_ended = true; }
     void release(QueryIndex) override {}
     bool may_attempt_again(QueryIndex, Ending) override { return true; }
     void probe(ServerIndex) override { ++differences_.probes; }
@@ -70,14 +72,14 @@
     void set_timer(Span from_now, TimerKey key) override { hooks_.set_timer(from_now, key); }
     void log(std::string_view) override {}
 
-    Seen& seen(QueryIndex query);
-    void compare(Seen& s);
-    void settle_books(QueryIndex query);
+    RequestState& state_of(QueryIndex request);
+    void compare(RequestState& state);
+    void end_unmade_attempt(QueryIndex request);
 
     Hooks hooks_;
-    std::vector<Seen> seen_;  // by query
+    std::vector<RequestState> states_;  // by request
     Differences differences_;
-    Rules rules_;
+    Rules router_;
 };
 
 }  // namespace copperfront
--- a/tests/core/send_guard_test.cpp
+++ b/tests/core/send_guard_test.cpp
@@ -1,4 +1,4 @@
-// Each decision of the guard, and what it counts.
+// Each decision of the send guard, and its counters.
 #include "core/send_guard.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 constexpr Span ms(std::int64_t x) { return {x * 1000}; }
 constexpr Instant kNow{5000000000};
 
-SendGuard::AttemptStart usual_start() {
+SendGuard::AttemptStart default_start() {
     SendGuard::AttemptStart facts;
     facts.made = 1;
     facts.most = 4;
@@ -19,36 +19,36 @@
 
 TEST(SendGuardStart, GrantsAUsualAttempt) {
     SendGuard guard(ms(1000));
-    EXPECT_EQ(guard.may_start(usual_start()), Denial::none);
+    EXPECT_EQ(guard.may_start(default_start()), Denial::none);
     EXPECT_EQ(guard.denied(Denial::already_answered), 0u);
 }
 
 TEST(SendGuardStart, DeniesAndCountsEachReason) {
     SendGuard guard(ms(1000));
-    auto answered = usual_start();
+    auto answered = default_start();
     answered.answered = true;
     EXPECT_EQ(guard.may_start(answered), Denial::already_answered);
-    auto second = usual_start();
+    auto second = default_start();
     second.attempt_out = true;
-    EXPECT_EQ(guard.may_start(second), Denial::attempt_still_out);
-    auto repeated = usual_start();
+    EXPECT_EQ(guard.may_start(second), Denial::attempt_in_flight);
+    auto repeated = default_start();
     repeated.effect = Effect::effectful;
     repeated.may_have_run = true;
     EXPECT_EQ(guard.may_start(repeated), Denial::effect_may_have_happened);
-    auto many = usual_start();
-    many.made = 5;
-    EXPECT_EQ(guard.may_start(many), Denial::too_many_attempts);
-    auto late = usual_start();
-    late.left = {};
-    EXPECT_EQ(guard.may_start(late), Denial::no_time_left);
+    auto too_many = default_start();
+    too_many.made = 5;
+    EXPECT_EQ(guard.may_start(too_many), Denial::too_many_attempts);
+    auto out_of_time = default_start();
+    out_of_time.left = {};
+    EXPECT_EQ(guard.may_start(out_of_time), Denial::no_time_left);
     for (const Denial denial :
-         {Denial::already_answered, Denial::attempt_still_out, Denial::effect_may_have_happened,
+         {Denial::already_answered, Denial::attempt_in_flight, Denial::effect_may_have_happened,
           Denial::too_many_attempts, Denial::no_time_left}) {
         EXPECT_EQ(guard.denied(denial), 1u) << text_of(denial);
     }
 }
 
-TEST(SendGuardWrite, DeniesAGoneClientAndAWindowThatIsOver) {
+TEST(SendGuardWrite, DeniesAfterTheClientHasGoneAndAfterTheWriteWindow) {
     SendGuard guard(ms(1000));
     EXPECT_EQ(guard.may_write({false, kNow, kNow}), Denial::none);
     EXPECT_EQ(guard.may_write({true, kNow, kNow}), Denial::client_gone);
@@ -80,7 +80,7 @@
     EXPECT_EQ(guard.may_release(ledger, kRequest, end), Denial::none);
 }
 
-// Its server runs and has taken the state, so no clock runs.
+// The server is running and has taken the state, so no time limit is running.
 TEST(SendGuardRelease, WaitsForAStreamThatHasBegun) {
     SendGuard guard(ms(1000));
     HoldLedger ledger = ledger_with_state();
@@ -101,14 +101,14 @@
     EXPECT_EQ(guard.may_release(ledger, kRequest + 1, kNow), Denial::nothing_held);
 }
 
-TEST(SendGuardReuse, WantsAQuietConnectionThatHasRested) {
+TEST(SendGuardReuse, NeedsAnIdleConnectionWithoutPendingInput) {
     SendGuard guard(ms(1000));
     EXPECT_EQ(guard.may_reuse({true, ms(20)}), Denial::none);
     EXPECT_EQ(guard.may_reuse({true, ms(19)}), Denial::connection_unsafe);
     EXPECT_EQ(guard.may_reuse({false, ms(500)}), Denial::connection_unsafe);
 }
 
-TEST(SendGuardShutdown, RequestsAreTakenForAWhileAndNothingIsLeftBehind) {
+TEST(SendGuardShutdown, RequestsAreAcceptedForAWhileAndPendingWorkPreventsTheExit) {
     SendGuard guard(ms(1000));
     EXPECT_EQ(guard.may_accept(false, {}), Denial::none);
     EXPECT_EQ(guard.may_accept(true, ms(699)), Denial::none);
@@ -119,7 +119,7 @@
     facts.listening = false;
     EXPECT_EQ(guard.may_exit(facts), Denial::none);
     facts.releases = 1;
-    EXPECT_EQ(guard.may_exit(facts), Denial::work_left);
+    EXPECT_EQ(guard.may_exit(facts), Denial::work_pending);
 }
 
 TEST(SendGuardInvariants, ViolationsAreCountedByTheirInvariant) {
