--- a/src/desk/desk.cpp
+++ b/src/desk/desk.cpp
@@ -7,341 +7,354 @@
 
 namespace copperfront {
 
-Desk::Desk(const Terms& terms, Outside& outside, std::uint32_t seed)
+Desk::Desk(const Terms& terms, Outside& host, std::uint32_t seed)
     : kinds_(terms.kinds),
       categories_(terms.categories),
       max_attempts_(terms.max_attempts),
-      outside_(outside),
-      admission_(terms.gateways, outside.now()),
-      share_(terms.gateways),
+      host_(host),
+      admission_(terms.gateways, host.now()),
+      fleet_share_(terms.gateways),
       guard_(terms.release_within),
       ledger_(terms.release_within),
       rules_(terms, *this, seed) {
-    admission_.change({{RouteLimits{}}}, terms.gateways, outside.now());
+    admission_.change({{RouteLimits{}}}, terms.gateways, host.now());
 }
 
 void Desk::limits_changed(std::span<const RouteLimits> routes, int gateways) {
-    admission_.change(routes, gateways, outside_.now());
+    admission_.change(routes, gateways, host_.now());
 }
 
 void Desk::terms_changed(const Terms& terms, std::span<const RouteLimits> routes) {
-    const Turn turn(*this);
+    const EventScope scope(*this);
     kinds_ = terms.kinds;
     categories_ = terms.categories;
     max_attempts_ = terms.max_attempts;
-    watching_.reset();  // its categories and groups may no longer be those of the desk
-    share_.change(terms.gateways);
+    shadow_evaluation_.reset();  // its categories and client groups may no longer match the new terms
+    fleet_share_.change(terms.gateways);
     guard_.change(terms.release_within);
     ledger_.change(terms.release_within);
-    admission_.change(routes, terms.gateways, outside_.now());
+    admission_.change(routes, terms.gateways, host_.now());
     rules_.terms_changed(terms);
 }
 
-// ---- this gateway's part of the fleet's limits
+// ---- this gateway's share of the fleet's limits
 
 void Desk::parts_are_learned(bool learned) {
-    parts_learned_ = learned;
+    share_is_learned_ = learned;
     if (!learned) admission_.part_is(0);
 }
 
 void Desk::watch(const Terms* terms, std::uint32_t seed) {
-    const Turn turn(*this);
-    watching_.reset();
+    const EventScope scope(*this);
+    shadow_evaluation_.reset();
     if (!terms) return;
-    watching_ = std::make_unique<Watching>(
+    shadow_evaluation_ = std::make_unique<Watching>(
         *terms,
-        Watching::Hooks{[this] { return outside_.now(); },
-                        [this](Span from_now, TimerKey key) { set_alarm(from_now, Ring::watching, key); }},
+        Watching::Hooks{[this] { return host_.now(); },
+                        [this](Span from_now, TimerKey key) {
+                            schedule_timer(from_now, TimerKind::shadow_evaluation, key);
+                        }},
         seed);
 }
 
-double Desk::part() const { return share_.value(outside_.now()); }
+double Desk::part() const { return fleet_share_.value(host_.now()); }
 
-void Desk::note_report(ServerIndex server, const LoadReport& report) {
-    if (!parts_learned_ || report.memory_share < 0 || server >= memory_.size() || memory_[server] <= 0)
+void Desk::record_load_report(ServerIndex server, const LoadReport& report) {
+    if (!share_is_learned_ || report.memory_share < 0 || server >= server_memory_.size() ||
+        server_memory_[server] <= 0)
         return;
-    share_.report(own_tokens_[server], report.memory_share * memory_[server], outside_.now());
+    fleet_share_.report(own_tokens_[server], report.memory_share * server_memory_[server], host_.now());
     admission_.part_is(part());
 }
 
-// ---- queries
+// ---- requests
 
 QueryIndex Desk::open(RequestKey key) {
-    sweep();
-    QueryIndex query = 0;
-    if (free_.empty()) {
-        query = static_cast<QueryIndex>(tickets_.size());
-        tickets_.emplace_back();
+    recycle_indexes();
+    QueryIndex request = 0;
+    if (free_indexes_.empty()) {
+        request = static_cast<QueryIndex>(requests_.size());
+        requests_.emplace_back();
     } else {
-        query = free_.back();
-        free_.pop_back();
+        request = free_indexes_.back();
+        free_indexes_.pop_back();
     }
-    tickets_[query] = Ticket{};
-    tickets_[query].used = true;
-    tickets_[query].key = key != 0 ? key : next_key_++;
-    return query;
+    requests_[request] = TrackedRequest{};
+    requests_[request].in_use = true;
+    requests_[request].key = key != 0 ? key : next_key_++;
+    return request;
 }
 
-void Desk::query_came(QueryIndex query, Arrival facts, RouteIndex route, const RouteLimits& limits,
-                      bool again) {
-    const Turn turn(*this);
-    Ticket& ticket = tickets_[query];
-    const Category& category = categories_[facts.category];
-    ++open_;
-    ++tally_.came;
-    const Verdict verdict = admission_.query_came(route, facts.prompt_tokens, again, outside_.now());
-    if (verdict.why != Refusal::none) {
-        ticket.ended = true;
-        ended_.push_back(query);
-        --open_;
-        ++tally_.declined;
-        ++tally_.over_limit;
-        ticket.account.came = ticket.came = outside_.now();
-        if (witness_) witness_->ended(query, Fate::over_limit, text_of(verdict.why), ticket.account);
-        outside_.declined(query, verdict.come_back, text_of(verdict.why));
+void Desk::query_came(QueryIndex request, Arrival arrival, RouteIndex route, const RouteLimits& limits,
+                      bool is_repeat) {
+    const EventScope scope(*this);
+    TrackedRequest& tracked = requests_[request];
+    const Category& category = categories_[arrival.category];
+    ++open_count_;
+    ++counters_.came;
+    const AdmissionDecision decision =
+        admission_.query_came(route, arrival.prompt_tokens, is_repeat, host_.now());
+    if (decision.why != Refusal::none) {
+        tracked.ended = true;
+        ended_requests_.push_back(request);
+        --open_count_;
+        ++counters_.declined;
+        ++counters_.over_limit;
+        tracked.summary.came = tracked.arrived_at = host_.now();
+        if (observer_) observer_->ended(request, Fate::over_limit, text_of(decision.why), tracked.summary);
+        host_.declined(request, decision.retry_after, text_of(decision.why));
         return;
     }
-    ticket.route = route;
-    ticket.prompt_tokens = facts.prompt_tokens;
-    ticket.came = ticket.account.came = outside_.now();
-    ticket.streams = category.stream;
-    ticket.effect = category.effect;
-    // A gap that is told stands alone: how long a client waits for a first token tells nothing of how long a
-    // sound stream may rest.
-    ticket.silence = limits.gap.us > 0 ? limits.gap : longest_silence(category, facts.budget);
-    ticket.connect = limits.connect;
-    for (int cause = 0; cause < kCauses; ++cause) ticket.most_after[cause] = limits.most_after[cause];
-    facts.read_within = limits.read;
-    facts.hand_over_within = limits.hand_over;
-    facts.first_token_within = limits.first_token;
-    if (limits.most_attempts < kAnyNumber) facts.most_attempts = limits.most_attempts;
+    tracked.route = route;
+    tracked.prompt_tokens = arrival.prompt_tokens;
+    tracked.arrived_at = tracked.summary.came = host_.now();
+    tracked.streams = category.stream;
+    tracked.effect = category.effect;
+    // An explicit token gap applies as it stands: the time a client waits for a first token says nothing
+    // about how long a healthy stream may pause.
+    tracked.max_silence = limits.gap.us > 0 ? limits.gap : max_stream_silence(category, arrival.budget);
+    tracked.connect_limit = limits.connect;
+    for (int cause = 0; cause < kRetryCauses; ++cause) tracked.max_retries[cause] = limits.most_after[cause];
+    arrival.read_within = limits.read;
+    arrival.hand_over_within = limits.hand_over;
+    arrival.first_token_within = limits.first_token;
+    if (limits.most_attempts < kAnyNumber) arrival.most_attempts = limits.most_attempts;
     if (limits.whole.us > 0) {
-        facts.budget = std::min(facts.budget, limits.whole);
-        set_alarm(limits.whole, Ring::whole, query);
-        ticket.whole = limits.whole;
+        arrival.budget = std::min(arrival.budget, limits.whole);
+        schedule_timer(limits.whole, TimerKind::total_limit, request);
+        tracked.total_limit = limits.whole;
     }
-    ticket.deadline = ticket.came + facts.budget;
-    ticket.held = true;
+    tracked.deadline = tracked.arrived_at + arrival.budget;
+    tracked.queued = true;
     admission_.held(route, 1);
-    if (const Span after = admission_.copy_after(route);
-        after.us > 0 && limits.second_copies && category.effect == Effect::pure && category.stream) {
-        ticket.facts = facts;
-        ticket.copy_after = after;
-        set_alarm(after, Ring::copy, query);
+    if (const Span hedge_delay = admission_.hedge_after(route);
+        hedge_delay.us > 0 && limits.second_copies && category.effect == Effect::pure && category.stream) {
+        tracked.arrival = arrival;
+        tracked.hedge_after = hedge_delay;
+        schedule_timer(hedge_delay, TimerKind::hedge, request);
     }
-    if (watching_) watching_->query_came(query, facts);
-    rules_.query_arrived(query, facts);
+    if (shadow_evaluation_) shadow_evaluation_->query_came(request, arrival);
+    rules_.query_arrived(request, arrival);
 }
 
-void Desk::query_left(QueryIndex query) {
-    const Turn turn(*this);
-    Ticket& ticket = tickets_[query];
-    if (!ticket.used || ticket.ended) return;
-    ++tally_.left;
-    end(query, Fate::left, "");
-    // The rules never call off a stream that has begun; one that nobody reads ends all the same.
-    if (const auto it = attempts_.find(ticket.bound); it != attempts_.end() && !it->second.called_off) {
+void Desk::query_left(QueryIndex request) {
+    const EventScope scope(*this);
+    TrackedRequest& tracked = requests_[request];
+    if (!tracked.in_use || tracked.ended) return;
+    ++counters_.left;
+    end_request(request, Fate::left, "");
+    // The router never cancels a stream that has begun; the dispatcher does, because nobody reads it any
+    // more.
+    if (const auto it = attempts_.find(tracked.streaming_attempt);
+        it != attempts_.end() && !it->second.cancelled) {
         Outcome outcome;
         outcome.ending = Ending::retracted;
-        call_off(it->first, outcome, "its client has left");
+        cancel_then_finish(it->first, outcome, "its client has left");
     }
-    const QueryIndex pair = live_pair(query);
-    if (!tickets_[query].done) rules_.query_left(query);
-    if (pair != kNobody) {
-        set_down(pair);
-        rules_.query_left(pair);
+    const QueryIndex partner = active_partner(request);
+    if (!requests_[request].routing_done) rules_.query_left(request);
+    if (partner != kNoRequest) {
+        mark_routing_done(partner);
+        rules_.query_left(partner);
     }
 }
 
-// ---- second copies
+// ---- hedges
 
-QueryIndex Desk::live_pair(QueryIndex query) const {
-    const QueryIndex pair = tickets_[query].pair;
-    // An index may have been given to another query since.
-    if (pair == kNobody || !tickets_[pair].used || tickets_[pair].done || tickets_[pair].pair != query)
-        return kNobody;
-    // A query that has been answered has no pair that could still be.
-    return tickets_[pair].copy || !tickets_[pair].ended ? pair : kNobody;
+QueryIndex Desk::active_partner(QueryIndex request) const {
+    const QueryIndex partner = requests_[request].partner;
+    // The index may have been reused for another request since.
+    if (partner == kNoRequest || !requests_[partner].in_use || requests_[partner].routing_done ||
+        requests_[partner].partner != request)
+        return kNoRequest;
+    // A request that has been answered has no partner that could still be answered.
+    return requests_[partner].is_hedge || !requests_[partner].ended ? partner : kNoRequest;
 }
 
-// Nothing more comes of this one of the two.
-void Desk::set_down(QueryIndex query) {
-    Ticket& ticket = tickets_[query];
-    ticket.done = true;
-    if (!ticket.copy || ticket.ended) return;
-    ticket.ended = true;
-    ended_.push_back(query);
+// Marks that the router has finished with this request. The index of a hedge becomes free for reuse.
+void Desk::mark_routing_done(QueryIndex request) {
+    TrackedRequest& tracked = requests_[request];
+    tracked.routing_done = true;
+    if (!tracked.is_hedge || tracked.ended) return;
+    tracked.ended = true;
+    ended_requests_.push_back(request);
 }
 
-// Against a second final answer: while one of a pair ends or leaves, the rules may find an end for the other.
-bool Desk::is_answered(QueryIndex query) {
-    const Ticket& ticket = tickets_[query];
-    if (!ticket.used || ticket.ended || ticket.done) return true;
-    if (!tickets_[face(query)].ended) return false;
-    set_down(query);
+// Guards against a second final answer: while one of the two hedged requests ends or its client leaves, the
+// router may also end the other.
+bool Desk::is_answered(QueryIndex request) {
+    const TrackedRequest& tracked = requests_[request];
+    if (!tracked.in_use || tracked.ended || tracked.routing_done) return true;
+    if (!requests_[original_of(request)].ended) return false;
+    mark_routing_done(request);
     return true;
 }
 
-// Whether an end that the rules have found for this one is none yet, as its pair may still be answered.
-bool Desk::steps_back(QueryIndex query) {
-    if (live_pair(query) == kNobody) return false;
-    set_down(query);
+// Returns true, and drops this request, where the router ended it while its partner may still be answered.
+bool Desk::yields_to_partner(QueryIndex request) {
+    if (active_partner(request) == kNoRequest) return false;
+    mark_routing_done(request);
     return true;
 }
 
-// The slower one is called off, and what it holds is let go, as for a query that left.
-void Desk::call_off_pair(QueryIndex winner) {
-    const QueryIndex loser = live_pair(winner);
-    if (loser == kNobody) return;
-    if (tickets_[winner].copy) ++tally_.copies_won;
-    set_down(loser);
+// Cancels the attempts of the slower partner and releases its states, as if its client had left.
+void Desk::cancel_partner(QueryIndex winner) {
+    const QueryIndex loser = active_partner(winner);
+    if (loser == kNoRequest) return;
+    if (requests_[winner].is_hedge) ++counters_.hedges_won;
+    mark_routing_done(loser);
     rules_.query_left(loser);
 }
 
-// The rules choose its servers as for any query; it only knows where not to go first.
-void Desk::make_copy(QueryIndex query) {
-    const Ticket& now = tickets_[query];
-    const bool of_use = now.used && !now.ended && !now.done && !now.copy && now.pair == kNobody &&
-                        now.bound == 0 && now.out > 0 && now.copy_after.us > 0 &&
-                        outside_.now() - now.came >= now.copy_after;
-    if (!of_use) return;
-    const auto slow = attempts_.find(now.attempts.back());
-    const Span left = now.came + now.facts.budget - outside_.now();
-    if (slow == attempts_.end() || left.us <= 0 || !admission_.may_copy(now.route, outside_.now())) return;
-    Arrival facts = now.facts;
-    facts.budget = left;
-    facts.avoid = static_cast<std::int32_t>(slow->second.server);
-    const QueryIndex copy = open();  // other tickets may move
-    Ticket& first = tickets_[query];
-    Ticket& second = tickets_[copy];
-    first.pair = copy;
-    second.copy = true;
-    second.pair = query;
-    second.route = first.route;
-    second.prompt_tokens = first.prompt_tokens;
-    second.came = first.came;
-    second.deadline = first.deadline;
-    second.streams = true;
-    second.effect = first.effect;
-    second.silence = first.silence;
-    second.whole = first.whole;
-    second.connect = first.connect;
-    // Its attempts are none of the first ones that budgets are a share of.
-    second.read_begun = second.write_begun = true;
-    for (int cause = 0; cause < kCauses; ++cause) second.most_after[cause] = first.most_after[cause];
-    ++tally_.copies;
-    ++first.account.copies;
-    if (witness_) witness_->copied(query, slow->second.server);
-    rules_.query_arrived(copy, facts);
+// The router chooses the servers of a hedge as for any request, except that it first avoids the slow server.
+void Desk::start_hedge(QueryIndex request) {
+    const TrackedRequest& tracked = requests_[request];
+    const bool is_useful = tracked.in_use && !tracked.ended && !tracked.routing_done && !tracked.is_hedge &&
+                           tracked.partner == kNoRequest && tracked.streaming_attempt == 0 &&
+                           tracked.in_flight > 0 && tracked.hedge_after.us > 0 &&
+                           host_.now() - tracked.arrived_at >= tracked.hedge_after;
+    if (!is_useful) return;
+    const auto slow = attempts_.find(tracked.attempts.back());
+    const Span left = tracked.arrived_at + tracked.arrival.budget - host_.now();
+    if (slow == attempts_.end() || left.us <= 0 || !admission_.may_hedge(tracked.route, host_.now())) return;
+    Arrival arrival = tracked.arrival;
+    arrival.budget = left;
+    arrival.avoid = static_cast<std::int32_t>(slow->second.server);
+    const QueryIndex hedge_index = open();  // may move the elements of requests_
+    TrackedRequest& original = requests_[request];
+    TrackedRequest& hedge = requests_[hedge_index];
+    original.partner = hedge_index;
+    hedge.is_hedge = true;
+    hedge.partner = request;
+    hedge.route = original.route;
+    hedge.prompt_tokens = original.prompt_tokens;
+    hedge.arrived_at = original.arrived_at;
+    hedge.deadline = original.deadline;
+    hedge.streams = true;
+    hedge.effect = original.effect;
+    hedge.max_silence = original.max_silence;
+    hedge.total_limit = original.total_limit;
+    hedge.connect_limit = original.connect_limit;
+    // Attempts of a hedge do not count as the first attempts that retry budgets are a share of.
+    hedge.prefill_attempted = hedge.decode_attempted = true;
+    for (int cause = 0; cause < kRetryCauses; ++cause) hedge.max_retries[cause] = original.max_retries[cause];
+    ++counters_.copies;
+    ++original.summary.copies;
+    if (observer_) observer_->copied(request, slow->second.server);
+    rules_.query_arrived(hedge_index, arrival);
 }
 
-void Desk::end(QueryIndex query, Fate fate, std::string_view why) {
-    Ticket& ticket = tickets_[query];
-    ticket.ended = true;
-    if (witness_) witness_->ended(query, fate, why, ticket.account);
-    if (watching_) watching_->query_ended(query, fate == Fate::settled || fate == Fate::left);
-    if (ticket.held) admission_.held(ticket.route, -1);
-    ticket.held = false;
-    admission_.query_over(ticket.route, ticket.prompt_tokens, ticket.bound != 0, outside_.now());
-    ended_.push_back(query);
-    --open_;
+void Desk::end_request(QueryIndex request, Fate outcome, std::string_view why) {
+    TrackedRequest& tracked = requests_[request];
+    tracked.ended = true;
+    if (observer_) observer_->ended(request, outcome, why, tracked.summary);
+    if (shadow_evaluation_)
+        shadow_evaluation_->query_ended(request, outcome == Fate::settled || outcome == Fate::left);
+    if (tracked.queued) admission_.held(tracked.route, -1);
+    tracked.queued = false;
+    admission_.query_over(tracked.route, tracked.prompt_tokens, tracked.streaming_attempt != 0, host_.now());
+    ended_requests_.push_back(request);
+    --open_count_;
 }
 
-void Desk::sweep() {
-    if (ended_.empty()) return;
-    std::size_t kept = 0;
-    for (const QueryIndex query : ended_) {
-        Ticket& ticket = tickets_[query];
-        if (!ticket.used) continue;
-        // What was asked is named by a second copy's attempts as well.
-        const bool named = !ticket.copy && ticket.pair != kNobody && tickets_[ticket.pair].used &&
-                           tickets_[ticket.pair].copy && tickets_[ticket.pair].pair == query;
-        if (ticket.out > 0 || named) {
-            ended_[kept++] = query;
+void Desk::recycle_indexes() {
+    if (ended_requests_.empty()) return;
+    std::size_t remaining = 0;
+    for (const QueryIndex request : ended_requests_) {
+        TrackedRequest& tracked = requests_[request];
+        if (!tracked.in_use) continue;
+        // The attempts of a hedge also refer to the original request.
+        const bool referenced = !tracked.is_hedge && tracked.partner != kNoRequest &&
+                                requests_[tracked.partner].in_use && requests_[tracked.partner].is_hedge &&
+                                requests_[tracked.partner].partner == request;
+        if (tracked.in_flight > 0 || referenced) {
+            ended_requests_[remaining++] = request;
             continue;
         }
-        ticket.used = false;
-        if (watching_ && !ticket.copy) watching_->query_closed(query);
-        free_.push_back(query);
-        if (!ticket.copy) outside_.closed(query);
+        tracked.in_use = false;
+        if (shadow_evaluation_ && !tracked.is_hedge) shadow_evaluation_->query_closed(request);
+        free_indexes_.push_back(request);
+        if (!tracked.is_hedge) host_.closed(request);
     }
-    ended_.resize(kept);
+    ended_requests_.resize(remaining);
 }
 
-void Desk::decline(QueryIndex query, Span stay_away) {
-    if (is_answered(query) || steps_back(query)) return;
-    const QueryIndex asked = face(query);
-    const char* told = tickets_[query].why;
-    const char* why = told ? told : "cannot be settled in time now";
-    set_down(query);
-    end(asked, Fate::declined, why);
-    ++tally_.declined;
-    outside_.declined(asked, stay_away, why);
+void Desk::decline(QueryIndex request, Span retry_after) {
+    if (is_answered(request) || yields_to_partner(request)) return;
+    const QueryIndex original = original_of(request);
+    const char* reason = requests_[request].reason;
+    const char* why = reason ? reason : "cannot be settled in time now";
+    mark_routing_done(request);
+    end_request(original, Fate::declined, why);
+    ++counters_.declined;
+    host_.declined(original, retry_after, why);
 }
 
-void Desk::give_up(QueryIndex query) {
-    if (is_answered(query) || steps_back(query)) return;
-    const QueryIndex asked = face(query);
-    const char* why = tickets_[query].why;
-    set_down(query);
-    end(asked, Fate::given_up, why ? why : "no answer in time");
-    ++tally_.given_up;
-    outside_.given_up(asked, "no answer in time");
+void Desk::give_up(QueryIndex request) {
+    if (is_answered(request) || yields_to_partner(request)) return;
+    const QueryIndex original = original_of(request);
+    const char* reason = requests_[request].reason;
+    mark_routing_done(request);
+    end_request(original, Fate::given_up, reason ? reason : "no answer in time");
+    ++counters_.given_up;
+    host_.given_up(original, "no answer in time");
 }
 
 void Desk::give_up_all(std::string_view why) {
-    const Turn turn(*this);
-    for (QueryIndex query = 0; query < tickets_.size(); ++query) {
-        if (!tickets_[query].used || tickets_[query].ended || tickets_[query].copy) continue;
-        ++tally_.given_up;
-        outside_.given_up(query, why);
-        end(query, Fate::given_up, why);
-        const QueryIndex pair = live_pair(query);
-        if (!tickets_[query].done) rules_.query_left(query);
-        if (pair == kNobody) continue;
-        set_down(pair);
-        rules_.query_left(pair);
+    const EventScope scope(*this);
+    for (QueryIndex request = 0; request < requests_.size(); ++request) {
+        if (!requests_[request].in_use || requests_[request].ended || requests_[request].is_hedge) continue;
+        ++counters_.given_up;
+        host_.given_up(request, why);
+        end_request(request, Fate::given_up, why);
+        const QueryIndex partner = active_partner(request);
+        if (!requests_[request].routing_done) rules_.query_left(request);
+        if (partner == kNoRequest) continue;
+        mark_routing_done(partner);
+        rules_.query_left(partner);
     }
 }
 
-// ---- the list and probes
+// ---- server lists and probes
 
-void Desk::list_arrived(std::span<const Listing> entries, bool whole) {
-    const Turn turn(*this);
+void Desk::list_arrived(std::span<const Listing> entries, bool is_full_list) {
+    const EventScope scope(*this);
     for (const Listing& entry : entries) {
-        if (entry.server >= role_.size()) {
-            role_.resize(entry.server + 1, Role::mixed);
-            memory_.resize(entry.server + 1, 0);
+        if (entry.server >= roles_.size()) {
+            roles_.resize(entry.server + 1, Role::mixed);
+            server_memory_.resize(entry.server + 1, 0);
             own_tokens_.resize(entry.server + 1, 0);
         }
-        role_[entry.server] = kinds_[entry.kind].role;
-        // What a reader holds are texts and states on their way, not this gateway's to tell.
-        memory_[entry.server] = role_[entry.server] == Role::reader ? 0 : kinds_[entry.kind].memory_tokens;
+        roles_[entry.server] = kinds_[entry.kind].role;
+        // A prefill server holds cached prefixes and states in transit, which this gateway cannot attribute
+        // to itself.
+        server_memory_[entry.server] =
+            roles_[entry.server] == Role::reader ? 0 : kinds_[entry.kind].memory_tokens;
     }
-    if (watching_) watching_->list_arrived(entries, whole);
-    rules_.list_arrived(entries, whole);
+    if (shadow_evaluation_) shadow_evaluation_->list_arrived(entries, is_full_list);
+    rules_.list_arrived(entries, is_full_list);
 }
 
 void Desk::list_missed() {
-    const Turn turn(*this);
-    if (watching_) watching_->list_missed();
+    const EventScope scope(*this);
+    if (shadow_evaluation_) shadow_evaluation_->list_missed();
     rules_.list_missed();
 }
 
 void Desk::probe(ServerIndex server) {
-    ++tally_.probes;
-    outside_.probe(server);
+    ++counters_.probes;
+    host_.probe(server);
 }
 
 void Desk::probe_answered(ServerIndex server, bool answered, const LoadReport& report) {
-    const Turn turn(*this);
-    if (answered) note_report(server, report);
-    if (watching_) watching_->probe_answered(server, answered, report);
+    const EventScope scope(*this);
+    if (answered) record_load_report(server, report);
+    if (shadow_evaluation_) shadow_evaluation_->probe_answered(server, answered, report);
     rules_.probe_answered(server, answered, report);
 }
 
 void Desk::peer_told(std::string_view note) {
-    const Turn turn(*this);
+    const EventScope scope(*this);
     rules_.peer_told(note);
 }
 
--- a/src/desk/desk.h
+++ b/src/desk/desk.h
@@ -1,9 +1,9 @@
-// Carries out what the rules decide and keeps the books for it: which attempts of a query are out, where its
-// states may lie, which attempt has begun its stream, and what rings when. It stands between the decision
-// module and whatever moves the bytes (sockets, or a test), decides nothing of its own, and is free of I/O
-// and clocks.
+// The dispatcher carries out the decisions of the router and keeps the state of every request: the attempts
+// in flight, the servers that may hold its state, the attempt whose stream has begun, and its timers. It
+// stands between the router and the code that moves the bytes (sockets, or a test), takes no decisions of its
+// own, and uses no I/O and no clock.
 //
-// Every public method is one thing that has happened and must not be called from within a call to Outside.
+// Every public method reports one event and must not be called from within a call to Outside.
 #pragma once
 
 #include <cstdint>
@@ -24,238 +24,257 @@
 
 namespace copperfront {
 
-// An AttemptId is never used twice by one desk; from 1.
+// Attempt ids start at 1 and are never reused by a dispatcher.
 
-// What the desk may do to the world. None of these may call back into the desk.
+// Interface through which the dispatcher acts. Implementations must not call back into the dispatcher.
 class Outside {
   public:
     virtual ~Outside() = default;
     virtual Instant now() const = 0;
-    // Desk::time_came is wanted at this time or soon after; a later call replaces the wish.
+    // Requests a call of Desk::time_came at this time or soon after. A later call replaces an earlier one.
     virtual void wake_at(Instant at) = 0;
-    // The state of a read is named by its attempt. `limit` is for the engine to drop what nobody waits for.
-    virtual void send_read(AttemptId attempt, ServerIndex to, QueryIndex query, Span limit) = 0;
-    // `state` 0: there is none, and the engine reads the prompt itself; else it lies at `from`.
-    virtual void send_write(AttemptId attempt, ServerIndex to, QueryIndex query, AttemptId state,
+    // Starts a prefill. The state that it leaves on the server is named by `attempt`. After `limit` the
+    // server may drop the attempt, because nobody waits for it any more.
+    virtual void send_read(AttemptId attempt, ServerIndex to, QueryIndex request, Span limit) = 0;
+    // Starts a decode from `state`, which is held by the server `from`. If `state` is 0, there is no state
+    // and the server prefills the prompt itself.
+    virtual void send_write(AttemptId attempt, ServerIndex to, QueryIndex request, AttemptId state,
                             ServerIndex from, Span limit) = 0;
     virtual void call_off(AttemptId attempt, ServerIndex at) = 0;
-    // Takes back an attempt that waits for its connection: true, and it was never sent; false: it may have
-    // been.
+    // Withdraws an attempt that waits for its connection. Returns true if it was never sent, false if it may
+    // have been sent.
     virtual bool unsend(AttemptId attempt, ServerIndex at) = 0;
-    // Whether releases are answered by servers, and told to the ledger. Otherwise messages arrive in order,
-    // and a release that was sent is as good as done.
+    // Whether servers answer releases, with the answers reported to the hold ledger. Otherwise messages
+    // arrive in order, and a release counts as done once it is sent.
     virtual bool releases_are_answered() const { return false; }
     virtual void release(ServerIndex at, AttemptId state) = 0;
     virtual void probe(ServerIndex server) = 0;
     virtual void subscribe() = 0;
-    // To all other gateways, where terms allow it.
+    // Sends a note to all other gateways, where the terms allow it.
     virtual void tell_peers(std::string_view /*note*/) {}
-    // Final answers; exactly one for each query that came and has not left.
-    virtual void settled(QueryIndex query) = 0;
-    virtual void declined(QueryIndex query, Span stay_away, std::string_view why) = 0;
-    virtual void given_up(QueryIndex query, std::string_view why) = 0;
-    // Nothing more will name this query; its index may come again.
-    virtual void closed(QueryIndex query) = 0;
+    // Final answers: exactly one for each request that arrived and whose client has not left.
+    virtual void settled(QueryIndex request) = 0;
+    virtual void declined(QueryIndex request, Span retry_after, std::string_view why) = 0;
+    virtual void given_up(QueryIndex request, std::string_view why) = 0;
+    // No later call refers to this request; its index may be reused.
+    virtual void closed(QueryIndex request) = 0;
     virtual void log(std::string_view line) = 0;
 };
 
-// Counted since the start.
+// Counters since the start.
 struct Tally {
     std::uint64_t came = 0, left = 0, settled = 0, declined = 0, given_up = 0, streams_broken = 0,
                   streams_silent = 0, leases_ended = 0;
     std::uint64_t reads = 0, writes = 0, called_off = 0, releases = 0, probes = 0;
-    // Declined by a route's limits; attempts that they did not leave; attempts taken back unsent.
-    std::uint64_t over_limit = 0, not_again = 0, not_connected = 0, copies = 0, copies_won = 0;
-    std::uint64_t endings[9] = {};  // by Ending
+    // Requests rejected by limits of their route, further attempts denied by these limits, and attempts
+    // withdrawn because their connection was not made in time.
+    std::uint64_t over_limit = 0, not_again = 0, not_connected = 0, copies = 0, hedges_won = 0;
+    std::uint64_t endings[9] = {};  // indexed by Ending
 };
 
 class Desk final : private Host {
   public:
-    Desk(const Terms& terms, Outside& outside, std::uint32_t seed);
+    Desk(const Terms& terms, Outside& host, std::uint32_t seed);
 
-    // Told of everything from now on; null: nobody is. It must outlive the desk, or be taken away again.
-    void watched_by(Witness* witness) { witness_ = witness; }
+    // Sets the observer of all events from now on; null removes it. It must outlive the dispatcher or be
+    // removed before it is destroyed.
+    void watched_by(Witness* observer) { observer_ = observer; }
 
-    // Counts from now on where these terms would decide otherwise; their categories, kinds and client groups
-    // are those of the desk. Null: no longer, as after a change of the desk's own terms. What was listed
-    // before has to be told again.
+    // Starts a shadow evaluation: counts where `terms` would lead to other decisions. Their categories, kinds
+    // and client groups must be those of the dispatcher. Null ends the evaluation, and so does a change of
+    // the dispatcher's own terms. Earlier server lists must be passed again.
     void watch(const Terms* terms, std::uint32_t seed);
-    const Watching* watching() const { return watching_.get(); }
+    const Watching* watching() const { return shadow_evaluation_.get(); }
 
-    // An index for a query that is about to come; query_came must follow. `key`: its name in the ledger; 0:
-    // one of its own.
+    // Returns an index for a request that is about to arrive; query_came must follow. `key` is the name of
+    // the request in the hold ledger; 0 assigns a new one.
     QueryIndex open(RequestKey key = 0);
-    RequestKey key_of(QueryIndex query) const { return tickets_[query].key; }
-    // Declined at once where its route's limits are used up. The route's limits are those that it keeps,
-    // whatever the terms become meanwhile.
-    void query_came(QueryIndex query, Arrival facts, RouteIndex route = 0, const RouteLimits& limits = {},
-                    bool again = false);
-    void query_left(QueryIndex query);
+    RequestKey key_of(QueryIndex request) const { return requests_[request].key; }
+    // Rejects the request at once if limits of its route are used up. The request keeps these limits even if
+    // the terms change meanwhile.
+    void query_came(QueryIndex request, Arrival arrival, RouteIndex route = 0, const RouteLimits& limits = {},
+                    bool is_repeat = false);
+    void query_left(QueryIndex request);
 
-    // Other terms from now on: categories, kinds and client groups may only have grown.
+    // Applies other terms from now on. Categories, kinds and client groups may only have been added.
     void terms_changed(const Terms& terms, std::span<const RouteLimits> routes);
 
-    // The routes alone, as at the start.
+    // Applies the limits of the routes alone, as at the start.
     void limits_changed(std::span<const RouteLimits> routes, int gateways);
 
-    // Whether parts of what is stated for the fleet are learned from load reports, or even.
+    // Whether this gateway's share of limits that are stated for the fleet is learned from load reports;
+    // otherwise all gateways have equal shares.
     void parts_are_learned(bool learned);
-    // This gateway's part now.
+    // The current share of this gateway.
     double part() const;
 
-    void list_arrived(std::span<const Listing> entries, bool whole);
+    void list_arrived(std::span<const Listing> entries, bool is_full_list);
     void list_missed();
 
-    // A token of an attempt's answer. True: it belongs to the stream of `query`; false: nobody's.
-    bool token_came(AttemptId attempt, QueryIndex& query);
-    // How an attempt has ended, once for each; of an attempt that is over already, it is ignored. Fields of
-    // the outcome that the desk knows (took, over) are filled in here.
+    // Reports a token of an attempt's answer. Returns true if it belongs to the stream of the client's
+    // request, which is stored in `request`, and false if it must be dropped.
+    bool token_came(AttemptId attempt, QueryIndex& request);
+    // Reports the end of an attempt, once per attempt. It is ignored if the attempt has already ended. The
+    // dispatcher fills in the fields `took` and `over` of the outcome.
     void attempt_ended(AttemptId attempt, Outcome outcome);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
     void peer_told(std::string_view note);
     void time_came();
-    // Every open query that has not begun is given up now, for a stop that has taken too long.
+    // Abandons every open request, for a shutdown that has taken too long.
     void give_up_all(std::string_view why);
 
-    // Whether an attempt that waits for its connection may still be sent now. Asked right before its first
-    // byte.
-    Denial may_be_written(AttemptId attempt, bool client_gone, Span told);
+    // Whether an attempt that waits for its connection may still be sent. Called right before its first byte.
+    Denial may_be_written(AttemptId attempt, bool client_gone, Span stated_time_left);
     SendGuard& guard() { return guard_; }
     const SendGuard& guard() const { return guard_; }
     HoldLedger& ledger() { return ledger_; }
     const HoldLedger& ledger() const { return ledger_; }
-    // A part of an attempt's answer has come, which need not be a token.
+    // Reports that a part of an answer has arrived, which need not be a token.
     void answer_began(AttemptId attempt);
 
-    std::size_t open_queries() const { return open_; }
+    std::size_t open_queries() const { return open_count_; }
     std::size_t attempts_out() const { return attempts_.size(); }
     Rules::Waiting waiting() const { return rules_.waiting(); }
-    const Tally& tally() const { return tally_; }
+    const Tally& tally() const { return counters_; }
     const Admission& admission() const { return admission_; }
-    // Whether an attempt with this id was ever made here.
+    // Whether the dispatcher has ever created an attempt with this id.
     bool was_made(AttemptId attempt) const { return attempt > 0 && attempt < next_attempt_; }
 
   private:
-    static constexpr QueryIndex kNobody = ~QueryIndex{0};
-    struct Ticket {
-        RequestKey key = 0;  // in the ledger
-        bool used = false, ended = false, streams = true, held = false;
-        Span silence;                                  // the longest that its stream may say nothing
-        bool read_begun = false, write_begun = false;  // its first attempts were made
-        // A second copy is a query of its own to the rules, under an index that nobody outside sees; `pair`
-        // is the other of the two. `done`: the rules are through with it, while its pair may still be
-        // answered.
-        bool copy = false, done = false;
-        QueryIndex pair = kNobody;
-        Arrival facts;  // kept where a copy may be made
+    static constexpr QueryIndex kNoRequest = ~QueryIndex{0};
+    struct TrackedRequest {
+        RequestKey key = 0;  // name in the hold ledger
+        bool in_use = false, ended = false, streams = true, queued = false;
+        Span max_silence;  // longest time without a token once the stream has begun
+        // Whether the first attempt of each stage was made.
+        bool prefill_attempted = false, decode_attempted = false;
+        // The router sees a hedge as a request of its own, under an index that is not visible outside.
+        // `partner` is the other of the two requests. `routing_done`: the router has finished with this
+        // request, while its partner may still be answered.
+        bool is_hedge = false, routing_done = false;
+        QueryIndex partner = kNoRequest;
+        Arrival arrival;  // set if the request may be hedged
         RouteIndex route = 0;
         Effect effect = Effect::pure;
-        bool may_have_run = false;  // an attempt that could have had the request's effect
+        bool may_have_run = false;  // whether an attempt may have had the request's effect
         double prompt_tokens = 0;
-        Span whole, copy_after, connect;
-        Instant came, deadline;
-        std::uint32_t after[kCauses] = {}, most_after[kCauses] = {};
-        std::uint32_t made = 0, out = 0;
-        AttemptId bound = 0;  // the attempt whose stream the caller gets
-        AttemptId state = 0;  // the state that the next write takes; 0: none
-        ServerIndex state_at = 0;
-        Account account;                  // kept where a trace is
-        const char* why = nullptr;        // that the rules gave last
+        Span total_limit, hedge_after, connect_limit;
+        Instant arrived_at, deadline;
+        std::uint32_t retries[kRetryCauses] = {}, max_retries[kRetryCauses] = {};
+        std::uint32_t attempts_made = 0, in_flight = 0;
+        AttemptId streaming_attempt = 0;  // the attempt whose stream the client receives
+        AttemptId state = 0;              // the state that the next decode takes; 0: none
+        ServerIndex state_server = 0;
+        Account summary;                  // kept for the observer
+        const char* reason = nullptr;     // the latest reason given by the router
         std::vector<AttemptId> attempts;  // by attempt number
     };
     struct Attempt {
-        QueryIndex query = 0;
+        QueryIndex request = 0;
         ServerIndex server = 0;
-        Instant sent, heard;
-        Instant write_by;     // not sent any more after that
-        AttemptId state = 0;  // write: the state it takes
-        double tokens = 0;    // write: of memory that it holds there
-        bool reading = false, begun = false, called_off = false;
-        bool unsent = false;  // it never left, and its end is on its way to the rules
-        Outcome pending;      // of one that was called off: told once its close has reached the server
-        const char* why = "";
+        Instant sent_at, last_token_at;
+        Instant send_by;           // the attempt must not be sent later than this
+        AttemptId state = 0;       // decode: the state that it takes
+        double memory_tokens = 0;  // decode: memory that it takes on its server, in tokens
+        bool is_prefill = false, streaming = false, cancelled = false;
+        bool never_sent = false;  // it was not sent, and its outcome is about to be reported to the router
+        Outcome pending_outcome;  // of a cancelled attempt: reported once its close has reached the server
+        const char* pending_reason = "";
     };
-    enum class Ring { rules, watching, limit, connect, called_off, lease, stream, whole, copy };
-    struct Alarm {
-        Instant at;
-        std::uint64_t order = 0;
-        Ring ring = Ring::rules;
+    enum class TimerKind {
+        router,
+        shadow_evaluation,
+        attempt_limit,
+        connect_limit,
+        cancel_delivered,
+        lease,
+        stream_silence,
+        total_limit,
+        hedge
+    };
+    struct Timer {
+        Instant due;
+        std::uint64_t sequence = 0;
+        TimerKind kind = TimerKind::router;
         std::uint64_t key = 0;
-        bool operator>(const Alarm& other) const {
-            return at != other.at ? at > other.at : order > other.order;
+        bool operator>(const Timer& other) const {
+            return due != other.due ? due > other.due : sequence > other.sequence;
         }
     };
-    class Turn;
+    class EventScope;
 
-    Instant now() const override { return outside_.now(); }
-    void start_attempt(QueryIndex query, ServerIndex server, const AttemptLimits& limits) override;
-    void retract(QueryIndex query, std::uint32_t number) override;
-    void decline(QueryIndex query, Span stay_away) override;
-    void give_up(QueryIndex query) override;
-    void release(QueryIndex query) override;
-    bool may_attempt_again(QueryIndex query, Ending after) override;
+    Instant now() const override { return host_.now(); }
+    void start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) override;
+    void retract(QueryIndex request, std::uint32_t number) override;
+    void decline(QueryIndex request, Span retry_after) override;
+    void give_up(QueryIndex request) override;
+    void release(QueryIndex request) override;
+    bool may_attempt_again(QueryIndex request, Ending after) override;
     void probe(ServerIndex server) override;
-    void subscribe() override { outside_.subscribe(); }
-    void tell_peers(std::string_view note) override { outside_.tell_peers(note); }
-    void set_timer(Span from_now, TimerKey key) override { set_alarm(from_now, Ring::rules, key); }
-    void log(std::string_view line) override { outside_.log(line); }
+    void subscribe() override { host_.subscribe(); }
+    void tell_peers(std::string_view note) override { host_.tell_peers(note); }
+    void set_timer(Span from_now, TimerKey key) override { schedule_timer(from_now, TimerKind::router, key); }
+    void log(std::string_view line) override { host_.log(line); }
 
-    void note_report(ServerIndex server, const LoadReport& report);
-    bool keeps_trace() const override { return witness_ != nullptr; }
-    void chose(QueryIndex query, ServerIndex server, bool reading, const char* why,
-               std::span<const Sight> seen, std::size_t of) override;
-    void held(QueryIndex query, const char* why) override;
-    void ends(QueryIndex query, const char* why) override { tickets_[query].why = why; }
+    void record_load_report(ServerIndex server, const LoadReport& report);
+    bool keeps_trace() const override { return observer_ != nullptr; }
+    void chose(QueryIndex request, ServerIndex server, bool is_prefill, const char* why,
+               std::span<const Sight> candidates, std::size_t candidate_count) override;
+    void held(QueryIndex request, const char* why) override;
+    void ends(QueryIndex request, const char* why) override { requests_[request].reason = why; }
     void shut(ServerIndex server, bool out) override {
-        if (witness_) witness_->shut(server, out);
+        if (observer_) observer_->shut(server, out);
     }
 
-    void set_alarm(Span from_now, Ring ring, std::uint64_t key);
-    void finish(AttemptId attempt, Outcome outcome, std::string_view why = "");
-    void call_off(AttemptId attempt, const Outcome& outcome, const char* why);
-    void over_once_closed(Attempt& mine, AttemptId attempt, const Outcome& outcome, const char* why);
-    void set_lease_alarm(QueryIndex query);
-    void lease_ends(QueryIndex query);
-    void ring(const Alarm& alarm);
-    void ring_whole(QueryIndex query);
-    void attempt_alarm_due(const Alarm& alarm);
-    void stream_may_be_silent(AttemptId attempt);
-    void release_held(QueryIndex query, AttemptId except);
-    void end(QueryIndex query, Fate fate, std::string_view why);
-    QueryIndex face(QueryIndex query) const { return tickets_[query].copy ? tickets_[query].pair : query; }
-    QueryIndex live_pair(QueryIndex query) const;
-    bool steps_back(QueryIndex query);
-    bool is_answered(QueryIndex query);
-    void set_down(QueryIndex query);
-    void call_off_pair(QueryIndex winner);
-    void make_copy(QueryIndex query);
-    void sweep();
-    void wish_to_wake();
+    void schedule_timer(Span from_now, TimerKind kind, std::uint64_t key);
+    void finish_attempt(AttemptId attempt, Outcome outcome, std::string_view why = "");
+    void cancel_then_finish(AttemptId attempt, const Outcome& outcome, const char* why);
+    void finish_after_close(Attempt& record, AttemptId attempt, const Outcome& outcome, const char* why);
+    void schedule_lease_timer(QueryIndex request);
+    void lease_expired(QueryIndex request);
+    void fire(const Timer& timer);
+    void total_limit_reached(QueryIndex request);
+    void attempt_timer_fired(const Timer& timer);
+    void check_stream_silence(AttemptId attempt);
+    void release_states(QueryIndex request, AttemptId except);
+    void end_request(QueryIndex request, Fate outcome, std::string_view why);
+    QueryIndex original_of(QueryIndex request) const {
+        return requests_[request].is_hedge ? requests_[request].partner : request;
+    }
+    QueryIndex active_partner(QueryIndex request) const;
+    bool yields_to_partner(QueryIndex request);
+    bool is_answered(QueryIndex request);
+    void mark_routing_done(QueryIndex request);
+    void cancel_partner(QueryIndex winner);
+    void start_hedge(QueryIndex request);
+    void recycle_indexes();
+    void update_wakeup();
 
     std::vector<Kind> kinds_;
     std::vector<Category> categories_;
     std::uint32_t max_attempts_;
-    Outside& outside_;
-    std::vector<Role> role_;                   // by server
-    std::vector<double> memory_, own_tokens_;  // by server: what it has, and what our writes hold of it
-    std::vector<Ticket> tickets_;
-    std::vector<QueryIndex> free_, ended_;
+    Outside& host_;
+    std::vector<Role> roles_;  // by server
+    // By server, in tokens: its memory, and the share of it taken by this gateway's decodes.
+    std::vector<double> server_memory_, own_tokens_;
+    std::vector<TrackedRequest> requests_;
+    std::vector<QueryIndex> free_indexes_, ended_requests_;
     std::unordered_map<AttemptId, Attempt> attempts_;
     AttemptId next_attempt_ = 1;
-    std::deque<std::pair<AttemptId, Outcome>> posted_;
-    std::priority_queue<Alarm, std::vector<Alarm>, std::greater<>> alarms_;
-    std::uint64_t next_order_ = 0;
-    Instant wished_;
-    bool wishing_ = false;
-    std::size_t open_ = 0;
-    Tally tally_;
-    Witness* witness_ = nullptr;
-    std::vector<Sight> seen_;  // of the choice in hand
+    std::deque<std::pair<AttemptId, Outcome>> deferred_outcomes_;
+    std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+    std::uint64_t next_sequence_ = 0;
+    Instant wakeup_at_;
+    bool wakeup_scheduled_ = false;
+    std::size_t open_count_ = 0;
+    Tally counters_;
+    Witness* observer_ = nullptr;
+    std::vector<Sight> candidates_;  // of the current choice
     Choice choice_;
     Admission admission_;
-    bool parts_learned_ = false;
-    FleetShare share_;
-    std::unique_ptr<Watching> watching_;  // null: no other terms are watched
+    bool share_is_learned_ = false;
+    FleetShare fleet_share_;
+    std::unique_ptr<Watching> shadow_evaluation_;  // null: no shadow evaluation is running
     SendGuard guard_;
     HoldLedger ledger_;
     RequestKey next_key_ = 1;
--- a/src/desk/desk_alarms.cpp
+++ b/src/desk/desk_alarms.cpp
@@ -1,103 +1,105 @@
-// What rings when: time limits of attempts, leases of held states, silent streams and the rules' own timers.
+// Timers of the dispatcher: time limits of attempts, leases of held states, silent streams and the router's
+// own timers.
 #include "desk/desk.h"
 #include "desk/desk_turn.h"
 
 namespace copperfront {
 
-void Desk::set_alarm(Span from_now, Ring ring, std::uint64_t key) {
-    alarms_.push({outside_.now() + from_now, next_order_++, ring, key});
+void Desk::schedule_timer(Span from_now, TimerKind kind, std::uint64_t key) {
+    timers_.push({host_.now() + from_now, next_sequence_++, kind, key});
 }
 
-void Desk::wish_to_wake() {
-    if (alarms_.empty()) return;
-    const Instant first = alarms_.top().at;
-    if (wishing_ && first == wished_) return;
-    wishing_ = true;
-    wished_ = first;
-    outside_.wake_at(first);
+void Desk::update_wakeup() {
+    if (timers_.empty()) return;
+    const Instant first = timers_.top().due;
+    if (wakeup_scheduled_ && first == wakeup_at_) return;
+    wakeup_scheduled_ = true;
+    wakeup_at_ = first;
+    host_.wake_at(first);
 }
 
 void Desk::time_came() {
-    const Turn turn(*this);
-    wishing_ = false;
-    // What is set meanwhile rings at the next call, or a timer of no length would ring for ever.
-    const std::uint64_t until = next_order_;
-    const Instant now = outside_.now();
-    while (!alarms_.empty() && alarms_.top().at <= now && alarms_.top().order < until) {
-        const Alarm alarm = alarms_.top();
-        alarms_.pop();
-        ring(alarm);
+    const EventScope scope(*this);
+    wakeup_scheduled_ = false;
+    // Timers set meanwhile fire in the next call, as a timer of zero length would otherwise loop for ever.
+    const std::uint64_t sequence_limit = next_sequence_;
+    const Instant now = host_.now();
+    while (!timers_.empty() && timers_.top().due <= now && timers_.top().sequence < sequence_limit) {
+        const Timer timer = timers_.top();
+        timers_.pop();
+        fire(timer);
     }
 }
 
-void Desk::ring(const Alarm& alarm) {
-    switch (alarm.ring) {
-        case Ring::rules:
-            return rules_.timer_rang(alarm.key);
-        case Ring::watching:
-            if (watching_) watching_->timer_rang(alarm.key);
+void Desk::fire(const Timer& timer) {
+    switch (timer.kind) {
+        case TimerKind::router:
+            return rules_.timer_rang(timer.key);
+        case TimerKind::shadow_evaluation:
+            if (shadow_evaluation_) shadow_evaluation_->timer_rang(timer.key);
             return;
-        case Ring::copy:
-            return make_copy(static_cast<QueryIndex>(alarm.key));
-        case Ring::lease:
-            return lease_ends(static_cast<QueryIndex>(alarm.key));
-        case Ring::whole:
-            return ring_whole(static_cast<QueryIndex>(alarm.key));
-        case Ring::limit:
-        case Ring::connect:
-        case Ring::called_off:
-        case Ring::stream:
-            return attempt_alarm_due(alarm);
+        case TimerKind::hedge:
+            return start_hedge(static_cast<QueryIndex>(timer.key));
+        case TimerKind::lease:
+            return lease_expired(static_cast<QueryIndex>(timer.key));
+        case TimerKind::total_limit:
+            return total_limit_reached(static_cast<QueryIndex>(timer.key));
+        case TimerKind::attempt_limit:
+        case TimerKind::connect_limit:
+        case TimerKind::cancel_delivered:
+        case TimerKind::stream_silence:
+            return attempt_timer_fired(timer);
     }
 }
 
-void Desk::ring_whole(QueryIndex query) {
-    // The index may have been given to another query since: only one that came so long ago is meant.
-    const Ticket& ticket = tickets_[query];
-    if (!ticket.used || ticket.ended || ticket.bound == 0 || ticket.whole.us <= 0 ||
-        outside_.now() - ticket.came < ticket.whole)
+void Desk::total_limit_reached(QueryIndex request) {
+    // The index may have been reused since: the timer concerns only a request that arrived long enough ago.
+    const TrackedRequest& tracked = requests_[request];
+    if (!tracked.in_use || tracked.ended || tracked.streaming_attempt == 0 || tracked.total_limit.us <= 0 ||
+        host_.now() - tracked.arrived_at < tracked.total_limit)
         return;
-    const auto it = attempts_.find(ticket.bound);
+    const auto it = attempts_.find(tracked.streaming_attempt);
     if (it == attempts_.end()) return;
-    outside_.call_off(it->first, it->second.server);
+    host_.call_off(it->first, it->second.server);
     Outcome outcome;
     outcome.ending = Ending::broken;
-    finish(it->first, outcome, "all of it took longer than its route allows");
+    finish_attempt(it->first, outcome, "all of it took longer than its route allows");
 }
 
-void Desk::attempt_alarm_due(const Alarm& alarm) {
-    const AttemptId attempt = alarm.key;
+void Desk::attempt_timer_fired(const Timer& timer) {
+    const AttemptId attempt = timer.key;
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end()) return;
-    if (alarm.ring == Ring::called_off) {
-        const Outcome outcome = it->second.pending;
-        return finish(attempt, outcome, it->second.why);
+    if (timer.kind == TimerKind::cancel_delivered) {
+        const Outcome outcome = it->second.pending_outcome;
+        return finish_attempt(attempt, outcome, it->second.pending_reason);
     }
-    if (it->second.called_off) return;
-    if (alarm.ring == Ring::stream) return stream_may_be_silent(attempt);
-    if (it->second.begun) return;
+    if (it->second.cancelled) return;
+    if (timer.kind == TimerKind::stream_silence) return check_stream_silence(attempt);
+    if (it->second.streaming) return;
     Outcome outcome;
-    if (alarm.ring == Ring::connect) {
-        // Never sent, so it cannot have run: any category may go again, and at once.
-        if (!outside_.unsend(attempt, it->second.server)) return;
-        ++tally_.not_connected;
+    if (timer.kind == TimerKind::connect_limit) {
+        // The attempt was never sent, so it cannot have run: a request of any category may be retried at
+        // once.
+        if (!host_.unsend(attempt, it->second.server)) return;
+        ++counters_.not_connected;
         outcome.ending = Ending::unreachable;
-        return finish(attempt, outcome, "its connection was not made in time");
+        return finish_attempt(attempt, outcome, "its connection was not made in time");
     }
     outcome.ending = Ending::late;
-    call_off(attempt, outcome, "its time limit has passed");
+    cancel_then_finish(attempt, outcome, "its time limit has passed");
 }
 
-// Against an answer whose end is lost in silence: its caller would wait for ever.
-void Desk::stream_may_be_silent(AttemptId attempt) {
-    const Attempt& mine = attempts_.at(attempt);
-    const Span left = mine.heard + tickets_[mine.query].silence - outside_.now();
-    if (left.us > 0) return set_alarm(left, Ring::stream, attempt);
-    ++tally_.streams_silent;
-    outside_.call_off(attempt, mine.server);
+// Guards against an answer whose end is lost: its client would wait for ever.
+void Desk::check_stream_silence(AttemptId attempt) {
+    const Attempt& record = attempts_.at(attempt);
+    const Span left = record.last_token_at + requests_[record.request].max_silence - host_.now();
+    if (left.us > 0) return schedule_timer(left, TimerKind::stream_silence, attempt);
+    ++counters_.streams_silent;
+    host_.call_off(attempt, record.server);
     Outcome outcome;
     outcome.ending = Ending::broken;
-    finish(attempt, outcome, "its stream fell silent");
+    finish_attempt(attempt, outcome, "its stream fell silent");
 }
 
 }  // namespace copperfront
--- a/src/desk/desk_turn.h
+++ b/src/desk/desk_turn.h
@@ -1,22 +1,23 @@
-// Part of the desk's own files, not for others.
+// Internal to the dispatcher's own sources.
 #pragma once
 
 #include "desk/desk.h"
 
 namespace copperfront {
 
-// What the rules' own acts bring about (an attempt that can't be made, one called off) reaches them after the
-// present call, never from within it; and an index is free again only once nothing can name it.
-class Desk::Turn {
+// Scope of one event. Consequences of the router's own actions (an attempt that cannot be made, a cancelled
+// attempt) are reported to it after the current call, never from within it. An index is reused only once
+// nothing refers to it.
+class Desk::EventScope {
   public:
-    explicit Turn(Desk& desk) : desk_(desk) { desk_.sweep(); }
-    ~Turn() {
-        while (!desk_.posted_.empty()) {
-            const auto [attempt, outcome] = desk_.posted_.front();
-            desk_.posted_.pop_front();
-            desk_.finish(attempt, outcome);
+    explicit EventScope(Desk& desk) : desk_(desk) { desk_.recycle_indexes(); }
+    ~EventScope() {
+        while (!desk_.deferred_outcomes_.empty()) {
+            const auto [attempt, outcome] = desk_.deferred_outcomes_.front();
+            desk_.deferred_outcomes_.pop_front();
+            desk_.finish_attempt(attempt, outcome);
         }
-        desk_.wish_to_wake();
+        desk_.update_wakeup();
     }
 
   private:
--- a/src/limits/adaptive_limit.cpp
+++ b/src/limits/adaptive_limit.cpp
@@ -6,64 +6,67 @@
 namespace copperfront {
 namespace {
 
-// Ours. A window long enough that chance in single first tokens evens out, and short enough that a limit that
-// has fallen to its least is back within seconds (it grows by its square root each time).
+// The window is long enough to even out random variation of single first tokens, and short enough that a
+// limit that has fallen to its minimum recovers within seconds (it grows by its square root per window).
 constexpr Span kWindow{250000};
-constexpr double kFewSamples = 8;
-constexpr double kTolerance = 1.5;  // first tokens may take this many times the unloaded time
-constexpr double kMostCut = 0.5;    // in one window
-constexpr double kLeast = 4;        // never less: a route is never starved
-constexpr double kMost = 100000;
-constexpr double kSmooth = 0.4;
-constexpr double kForget = 0.008;  // of the unloaded time towards the present, each window
-constexpr double kLostPart = 0.1;  // of queries without a first token that count as overload by themselves
+constexpr double kMinSamples = 8;
+constexpr double kLatencyTolerance = 1.5;  // first tokens may take this multiple of the unloaded time
+constexpr double kMinGradient = 0.5;       // largest decrease in one window
+constexpr double kMinLimit = 4;            // lower bound, so that a route is never starved
+constexpr double kMaxLimit = 100000;
+constexpr double kSmoothing = 0.4;
+// Per window: how far the unloaded time moves towards the current one.
+constexpr double kBaselineDrift = 0.008;
+// Share of requests without a first token above which losses alone count as overload.
+constexpr double kLossShare = 0.1;
 
 }  // namespace
 
-AdaptiveLimit::AdaptiveLimit(double first) : limit_(std::max(kLeast, first)) {}
+AdaptiveLimit::AdaptiveLimit(double initial) : limit_(std::max(kMinLimit, initial)) {}
 
-void AdaptiveLimit::begin(Instant now) {
-    if (begun_) return;
-    begun_ = true;
-    window_began_ = now;
+void AdaptiveLimit::start_first_window(Instant now) {
+    if (started_) return;
+    started_ = true;
+    window_start_ = now;
 }
 
-// Against a fleet from which nothing comes back at all: losses end a window as first tokens do.
-void AdaptiveLimit::lost(Instant now) {
-    begin(now);
+// A loss ends a window as a first token does, so that the limit also falls when the fleet returns nothing.
+void AdaptiveLimit::record_loss(Instant now) {
+    start_first_window(now);
     losses_ += 1;
-    end_window(now);
+    update_after_window(now);
 }
 
-void AdaptiveLimit::first_token(Span took, double in_hand, Instant now) {
-    begin(now);
+void AdaptiveLimit::record_first_token(Span took, double in_flight, Instant now) {
+    start_first_window(now);
     samples_ += 1;
-    now_ms_ += (std::max(0.01, took.ms()) - now_ms_) / samples_;
-    most_in_hand_ = std::max(most_in_hand_, in_hand);
-    end_window(now);
+    window_mean_ms_ += (std::max(0.01, took.ms()) - window_mean_ms_) / samples_;
+    max_in_flight_ = std::max(max_in_flight_, in_flight);
+    update_after_window(now);
 }
 
-void AdaptiveLimit::end_window(Instant now) {
-    if (samples_ + losses_ < kFewSamples || now - window_began_ < kWindow) return;
-    double gradient = kMostCut;  // nothing at all came back
+void AdaptiveLimit::update_after_window(Instant now) {
+    if (samples_ + losses_ < kMinSamples || now - window_start_ < kWindow) return;
+    double gradient = kMinGradient;  // no first token in this window
     if (samples_ > 0) {
-        if (unloaded_ == 0) unloaded_ = now_ms_;
-        // A faster fleet is believed at once; a slower one bit by bit, or an overload that lasts would pass
-        // for normal. While little is in hand nothing of what first tokens take is of our making.
-        const bool idle = most_in_hand_ < limit_ * 0.25;
-        if (now_ms_ < unloaded_)
-            unloaded_ = now_ms_;
+        if (unloaded_ms_ == 0) unloaded_ms_ = window_mean_ms_;
+        // A faster fleet is adopted at once; a slower one gradually, as a lasting overload would otherwise be
+        // taken for normal. While few requests are in flight, the load of the route does not cause the
+        // latency.
+        const bool idle = max_in_flight_ < limit_ * 0.25;
+        if (window_mean_ms_ < unloaded_ms_)
+            unloaded_ms_ = window_mean_ms_;
         else
-            unloaded_ += (idle ? kSmooth : kForget) * (now_ms_ - unloaded_);
-        gradient = std::clamp(unloaded_ * kTolerance / now_ms_, kMostCut, 1.0);
+            unloaded_ms_ += (idle ? kSmoothing : kBaselineDrift) * (window_mean_ms_ - unloaded_ms_);
+        gradient = std::clamp(unloaded_ms_ * kLatencyTolerance / window_mean_ms_, kMinGradient, 1.0);
     }
-    if (losses_ > kLostPart * (samples_ + losses_)) gradient = std::min(gradient, 1 - kSmooth);
-    const double wanted = limit_ * gradient + std::sqrt(limit_);
-    // Where the limit was not in the way it has not been tried, and does not grow.
-    if (wanted < limit_ || most_in_hand_ > limit_ * 0.5) limit_ += kSmooth * (wanted - limit_);
-    limit_ = std::clamp(limit_, kLeast, kMost);
-    samples_ = losses_ = now_ms_ = most_in_hand_ = 0;
-    window_began_ = now;
+    if (losses_ > kLossShare * (samples_ + losses_)) gradient = std::min(gradient, 1 - kSmoothing);
+    const double target = limit_ * gradient + std::sqrt(limit_);
+    // A limit that was not reached has not been tested and does not grow.
+    if (target < limit_ || max_in_flight_ > limit_ * 0.5) limit_ += kSmoothing * (target - limit_);
+    limit_ = std::clamp(limit_, kMinLimit, kMaxLimit);
+    samples_ = losses_ = window_mean_ms_ = max_in_flight_ = 0;
+    window_start_ = now;
 }
 
 }  // namespace copperfront
--- a/src/limits/adaptive_limit.h
+++ b/src/limits/adaptive_limit.h
@@ -1,6 +1,6 @@
-// Finds how many queries a route may have in hand before its first tokens lengthen, by the gradient of what
-// they take now against what they take unloaded (docs/limits.md weighs it against additive increase). Free of
-// I/O and clocks.
+// Adaptive concurrency limit: finds how many requests of a route may be in flight before their time to first
+// token grows. It follows the gradient between the unloaded and the current time to first token
+// (docs/limits.md compares it with additive increase). No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,23 @@
 
 class AdaptiveLimit {
   public:
-    explicit AdaptiveLimit(double first = 20);
-    // A first token came after `took`, while so many queries of the route were in hand.
-    void first_token(Span took, double in_hand, Instant now);
-    // A query ended without one.
-    void lost(Instant now);
+    explicit AdaptiveLimit(double initial = 20);
+    // A first token arrived after `took`, with this many requests of the route in flight.
+    void record_first_token(Span took, double in_flight, Instant now);
+    // A request ended without a first token.
+    void record_loss(Instant now);
     double limit() const { return limit_; }
 
   private:
-    void begin(Instant now);
-    void end_window(Instant now);
+    void start_first_window(Instant now);
+    void update_after_window(Instant now);
     double limit_;
-    double unloaded_ = 0;  // ms: what first tokens take when little is in hand; follows a slower fleet slowly
-    double now_ms_ = 0;    // ms: mean of the window in hand
-    double most_in_hand_ = 0, samples_ = 0, losses_ = 0;
-    Instant window_began_;
-    bool begun_ = false;
+    // Time to first token with few requests in flight; follows a slower fleet slowly.
+    double unloaded_ms_ = 0;
+    double window_mean_ms_ = 0;  // mean time to first token in the current window
+    double max_in_flight_ = 0, samples_ = 0, losses_ = 0;
+    Instant window_start_;
+    bool started_ = false;
 };
 
 }  // namespace copperfront
--- a/src/limits/admission.cpp
+++ b/src/limits/admission.cpp
@@ -6,13 +6,13 @@
 namespace copperfront {
 namespace {
 
-// A bucket of answer tokens may run this far ahead: an answer's length is known only at its end, so what a
-// query spends is paid back by those that come after it.
+// Burst of answer tokens, in seconds of their rate. The length of an answer is known only at its end, so the
+// bucket may be overdrawn, and later requests pay that back.
 constexpr double kAnswerBurstS = 2;
-constexpr double kQueryBurstS = 1;             // where no burst is stated
-constexpr std::uint64_t kFewFirstTokens = 50;  // learned from no fewer
-constexpr double kTuneFrom = 0.02;
-constexpr Span kSoon{100000};  // to come back when something in hand has ended
+constexpr double kRequestBurstS = 1;                 // where the route states no burst
+constexpr std::uint64_t kMinFirstTokenSamples = 50;  // smallest number of samples for a learned hedge delay
+constexpr double kMinShareChange = 0.02;
+constexpr Span kShortRetryAfter{100000};  // while a request in flight is likely to end
 
 double seconds(Span s) { return static_cast<double>(s.us) / 1e6; }
 
@@ -40,171 +40,180 @@
     return "";
 }
 
-void Admission::Bucket::fill(Instant now) {
-    // A clock that goes back fills nothing, and one that jumps fills the bucket once.
-    const double passed = std::max(0.0, seconds(now - filled));
-    filled = std::max(filled, now);
+void Admission::TokenBucket::refill(Instant now) {
+    // A clock that goes back adds nothing, and one that jumps forward fills the bucket at most once.
+    const double elapsed_s = std::max(0.0, seconds(now - refilled_at));
+    refilled_at = std::max(refilled_at, now);
     if (rate >= kNoLimit) return;
-    level = std::min(most, level + rate * std::min(passed, 3600.0));
+    level = std::min(capacity, level + rate * std::min(elapsed_s, 3600.0));
 }
 
-void Admission::Bucket::change(double r, double m, Instant now, bool fresh) {
-    if (fresh) filled = now;
-    fill(now);
-    // No burst is won by a reload: a bucket is full only when it is new, and one that grows keeps its level.
-    level = fresh || rate >= kNoLimit ? m : std::min(level, m);
-    rate = r;
-    most = m;
+void Admission::TokenBucket::configure(double new_rate, double new_capacity, Instant now, bool is_new) {
+    if (is_new) refilled_at = now;
+    refill(now);
+    // A reload grants no burst: only a new bucket starts full, and one that grows keeps its level.
+    level = is_new || rate >= kNoLimit ? new_capacity : std::min(level, new_capacity);
+    rate = new_rate;
+    capacity = new_capacity;
 }
 
-Span Admission::Bucket::until(double wanted) const {
+Span Admission::TokenBucket::time_until(double target) const {
     if (rate <= 0) return Span{3600000000};
-    return {static_cast<std::int64_t>(std::min(3600.0, std::max(0.0, wanted - level) / rate) * 1e6)};
+    return {static_cast<std::int64_t>(std::min(3600.0, std::max(0.0, target - level) / rate) * 1e6)};
 }
 
 Admission::Admission(int gateways, Instant) : gateways_(std::max(1, gateways)) {}
 
-// Each gateway's part of a limit of the fleet, never under one where the whole is not: what all gateways
-// together let through is at most the limit, or one for each gateway where there are more gateways than that.
-double Admission::part(double of_fleet) const {
-    if (of_fleet >= kNoLimit || of_fleet <= 0) return of_fleet;
-    return std::max(1.0, of_fleet * share());
+// This gateway's share of a limit of the fleet, but at least 1 if the whole limit is not below 1. All
+// gateways together admit at most the limit, or one request each where there are more gateways than the
+// limit.
+double Admission::share_of(double fleet_limit) const {
+    if (fleet_limit >= kNoLimit || fleet_limit <= 0) return fleet_limit;
+    return std::max(1.0, fleet_limit * share());
 }
 
 void Admission::change(std::span<const RouteLimits> routes, int gateways, Instant now) {
     gateways_ = std::max(1, gateways);
-    const std::size_t before = routes_.size();
-    if (routes.size() > before) routes_.resize(routes.size());
+    const std::size_t previous_size = routes_.size();
+    if (routes.size() > previous_size) routes_.resize(routes.size());
     for (std::size_t i = 0; i < routes_.size(); ++i) {
-        Route& r = routes_[i];
-        const bool fresh = i >= before;
+        Route& entry = routes_[i];
+        const bool is_new = i >= previous_size;
         if (i >= routes.size()) {
-            r.limits.closed = true;
+            entry.limits.closed = true;
             continue;
         }
-        r.limits = routes[i];
-        const RouteLimits& l = r.limits;
-        tune(r, now, fresh);
-        if (!r.copies)
-            r.copies = std::make_unique<RetryBudget>(l.second_share, 0, l.retry_window, now);
+        entry.limits = routes[i];
+        const RouteLimits& limits = entry.limits;
+        apply_share(entry, now, is_new);
+        if (!entry.hedge_budget)
+            entry.hedge_budget =
+                std::make_unique<RetryBudget>(limits.second_share, 0, limits.retry_window, now);
         else
-            r.copies->change(l.second_share, 0, l.retry_window, now);
-        if (!r.retries)
-            r.retries =
-                std::make_unique<RetryBudget>(l.retry_share, l.retry_floor / gateways_, l.retry_window, now);
+            entry.hedge_budget->change(limits.second_share, 0, limits.retry_window, now);
+        if (!entry.retry_budget)
+            entry.retry_budget = std::make_unique<RetryBudget>(
+                limits.retry_share, limits.retry_floor / gateways_, limits.retry_window, now);
         else
-            r.retries->change(l.retry_share, l.retry_floor / gateways_, l.retry_window, now);
+            entry.retry_budget->change(limits.retry_share, limits.retry_floor / gateways_,
+                                       limits.retry_window, now);
     }
 }
 
-// Rates are divided to the last bit; a part of less than one a second is no reason to let one a second in.
-void Admission::tune(Route& r, Instant now, bool fresh) {
-    const RouteLimits& l = r.limits;
-    r.tuned = share();
-    const double rate = l.rate >= kNoLimit ? l.rate : l.rate * r.tuned;
-    const double burst = l.burst > 0 ? part(l.burst) : std::max(1.0, rate * kQueryBurstS);
-    r.queries.change(rate, burst, now, fresh);
-    const double answers = l.answer_rate >= kNoLimit ? l.answer_rate : l.answer_rate * r.tuned;
-    r.answers.change(answers, answers >= kNoLimit ? 0 : answers * kAnswerBurstS, now, fresh);
-}
-
-Verdict Admission::query_came(RouteIndex route, double prompt_tokens, bool again, Instant now) {
-    Route& r = routes_.at(route);
-    const RouteLimits& l = r.limits;
-    RouteCounts& c = r.counts;
-    // A learned part moves a little with every report; what it moves by less than this is left to the next
-    // one.
-    if (std::abs(r.tuned - share()) > kTuneFrom * r.tuned) tune(r, now, false);
-    r.queries.fill(now);
-    r.answers.fill(now);
-    Verdict v;
-    const auto refuse = [&](Refusal why, Span come_back) {
-        ++c.refused;
-        v = {why, std::max(come_back, Span{1000})};
-        return v;
+// Rates are divided exactly: a share below one per second is not rounded up to one per second.
+void Admission::apply_share(Route& entry, Instant now, bool is_new) {
+    const RouteLimits& limits = entry.limits;
+    entry.applied_share = share();
+    const double rate = limits.rate >= kNoLimit ? limits.rate : limits.rate * entry.applied_share;
+    const double burst = limits.burst > 0 ? share_of(limits.burst) : std::max(1.0, rate * kRequestBurstS);
+    entry.request_bucket.configure(rate, burst, now, is_new);
+    const double answer_rate =
+        limits.answer_rate >= kNoLimit ? limits.answer_rate : limits.answer_rate * entry.applied_share;
+    entry.answer_token_bucket.configure(
+        answer_rate, answer_rate >= kNoLimit ? 0 : answer_rate * kAnswerBurstS, now, is_new);
+}
+
+AdmissionDecision Admission::query_came(RouteIndex route, double prompt_tokens, bool is_repeat, Instant now) {
+    Route& entry = routes_.at(route);
+    const RouteLimits& limits = entry.limits;
+    RouteCounts& totals = entry.counts;
+    // A learned share changes slightly with every report. A smaller change than this is not applied yet.
+    if (std::abs(entry.applied_share - share()) > kMinShareChange * entry.applied_share)
+        apply_share(entry, now, false);
+    entry.request_bucket.refill(now);
+    entry.answer_token_bucket.refill(now);
+    AdmissionDecision decision;
+    const auto reject = [&](Refusal why, Span retry_after) {
+        ++totals.refused;
+        decision = {why, std::max(retry_after, Span{1000})};
+        return decision;
     };
-    if (l.closed) return refuse(Refusal::closed, l.stay_away);
-    if (c.in_hand + 1 > part(l.in_hand)) return refuse(Refusal::in_hand, std::min(kSoon, l.stay_away));
-    if (c.held + 1 > part(l.held)) return refuse(Refusal::held, std::min(kSoon, l.stay_away));
-    // One query larger than the limit passes when nothing else is in hand, or it could never be.
-    if (c.in_hand > 0 && c.prompt_tokens + prompt_tokens > part(l.prompt_tokens))
-        return refuse(Refusal::prompt_tokens, std::min(kSoon, l.stay_away));
-    if (l.adapts && c.in_hand + 1 > r.adaptive.limit())
-        return refuse(Refusal::adaptive, std::min(kSoon, l.stay_away));
-    if (l.answer_rate < kNoLimit && r.answers.level <= 0)
-        return refuse(Refusal::answer_rate, r.answers.until(1));
-    if (l.rate < kNoLimit) {
-        if (r.queries.level < 1) return refuse(Refusal::rate, r.queries.until(1));
-        r.queries.level -= 1;
+    if (limits.closed) return reject(Refusal::closed, limits.stay_away);
+    if (totals.in_hand + 1 > share_of(limits.in_hand))
+        return reject(Refusal::in_hand, std::min(kShortRetryAfter, limits.stay_away));
+    if (totals.held + 1 > share_of(limits.held))
+        return reject(Refusal::held, std::min(kShortRetryAfter, limits.stay_away));
+    // A request larger than the limit is admitted when nothing else is in flight, as it could never be
+    // admitted otherwise.
+    if (totals.in_hand > 0 && totals.prompt_tokens + prompt_tokens > share_of(limits.prompt_tokens))
+        return reject(Refusal::prompt_tokens, std::min(kShortRetryAfter, limits.stay_away));
+    if (limits.adapts && totals.in_hand + 1 > entry.adaptive_limit.limit())
+        return reject(Refusal::adaptive, std::min(kShortRetryAfter, limits.stay_away));
+    if (limits.answer_rate < kNoLimit && entry.answer_token_bucket.level <= 0)
+        return reject(Refusal::answer_rate, entry.answer_token_bucket.time_until(1));
+    if (limits.rate < kNoLimit) {
+        if (entry.request_bucket.level < 1) return reject(Refusal::rate, entry.request_bucket.time_until(1));
+        entry.request_bucket.level -= 1;
     }
-    ++c.taken;
-    c.in_hand += 1;
-    c.prompt_tokens += prompt_tokens;
-    if (again) r.retries->repeated_by_caller(now);
-    r.copies->first_attempt_started(now);  // their share is one of queries
-    return v;
+    ++totals.taken;
+    totals.in_hand += 1;
+    totals.prompt_tokens += prompt_tokens;
+    if (is_repeat) entry.retry_budget->record_client_repeat(now);
+    entry.hedge_budget->first_attempt_started(now);  // the share of hedges is one of requests
+    return decision;
 }
 
-void Admission::query_over(RouteIndex route, double prompt_tokens, bool began, Instant now) {
-    Route& r = routes_.at(route);
-    ++r.counts.over;
-    r.counts.in_hand = std::max(0.0, r.counts.in_hand - 1);
-    r.counts.prompt_tokens = std::max(0.0, r.counts.prompt_tokens - prompt_tokens);
-    if (!began) r.adaptive.lost(now);
+void Admission::query_over(RouteIndex route, double prompt_tokens, bool had_first_token, Instant now) {
+    Route& entry = routes_.at(route);
+    ++entry.counts.over;
+    entry.counts.in_hand = std::max(0.0, entry.counts.in_hand - 1);
+    entry.counts.prompt_tokens = std::max(0.0, entry.counts.prompt_tokens - prompt_tokens);
+    if (!had_first_token) entry.adaptive_limit.record_loss(now);
 }
 
 void Admission::held(RouteIndex route, int change) {
-    RouteCounts& c = routes_.at(route).counts;
-    c.held = std::max(0.0, c.held + change);
+    RouteCounts& totals = routes_.at(route).counts;
+    totals.held = std::max(0.0, totals.held + change);
 }
 
 void Admission::first_attempt_started(RouteIndex route, Instant now) {
-    routes_.at(route).retries->first_attempt_started(now);
+    routes_.at(route).retry_budget->first_attempt_started(now);
 }
 
-Span Admission::copy_after(RouteIndex route) const {
-    const Route& r = routes_.at(route);
-    if (!r.limits.second_copies) return {};
-    if (r.limits.second_after.us > 0) return r.limits.second_after;
-    if (r.first_tokens.samples() < kFewFirstTokens) return {};
-    return {std::max<std::int64_t>(1, static_cast<std::int64_t>(r.first_tokens.value() * 1000))};
+Span Admission::hedge_after(RouteIndex route) const {
+    const Route& entry = routes_.at(route);
+    if (!entry.limits.second_copies) return {};
+    if (entry.limits.second_after.us > 0) return entry.limits.second_after;
+    if (entry.first_token_ms.samples() < kMinFirstTokenSamples) return {};
+    return {std::max<std::int64_t>(1, static_cast<std::int64_t>(entry.first_token_ms.value() * 1000))};
 }
 
-bool Admission::may_copy(RouteIndex route, Instant now) {
-    Route& r = routes_.at(route);
-    if (!r.limits.second_copies) return false;
-    const bool budgeted = r.limits.retry_share < kNoLimit;
-    if ((budgeted && r.retries->left(now) < 1) || !r.copies->take(now)) return false;
-    if (budgeted) r.retries->take(now);
-    ++r.counts.copies;
+bool Admission::may_hedge(RouteIndex route, Instant now) {
+    Route& entry = routes_.at(route);
+    if (!entry.limits.second_copies) return false;
+    const bool has_retry_budget = entry.limits.retry_share < kNoLimit;
+    if ((has_retry_budget && entry.retry_budget->remaining(now) < 1) || !entry.hedge_budget->try_take(now))
+        return false;
+    if (has_retry_budget) entry.retry_budget->try_take(now);
+    ++entry.counts.copies;
     return true;
 }
 
 bool Admission::may_attempt_again(RouteIndex route, Instant now) {
-    Route& r = routes_.at(route);
-    if (r.limits.retry_share >= kNoLimit || r.retries->take(now)) return true;
-    ++r.counts.further_refused;
+    Route& entry = routes_.at(route);
+    if (entry.limits.retry_share >= kNoLimit || entry.retry_budget->try_take(now)) return true;
+    ++entry.counts.further_refused;
     return false;
 }
 
 void Admission::began(RouteIndex route, Span first_token, Instant now) {
-    Route& r = routes_.at(route);
-    r.adaptive.first_token(first_token, r.counts.in_hand, now);
-    r.first_tokens.add(first_token.ms());
+    Route& entry = routes_.at(route);
+    entry.adaptive_limit.record_first_token(first_token, entry.counts.in_hand, now);
+    entry.first_token_ms.add(first_token.ms());
 }
 
 void Admission::tokens_came(RouteIndex route, double tokens, Instant now) {
-    Route& r = routes_.at(route);
-    if (r.answers.rate >= kNoLimit) return;
-    r.answers.fill(now);
-    r.answers.level -= tokens;
+    Route& entry = routes_.at(route);
+    if (entry.answer_token_bucket.rate >= kNoLimit) return;
+    entry.answer_token_bucket.refill(now);
+    entry.answer_token_bucket.level -= tokens;
 }
 
 RouteCounts Admission::counts(RouteIndex route) const {
-    RouteCounts c = routes_.at(route).counts;
-    const Route& r = routes_.at(route);
-    c.limit = r.limits.adapts ? r.adaptive.limit() : part(r.limits.in_hand);
-    return c;
+    RouteCounts totals = routes_.at(route).counts;
+    const Route& entry = routes_.at(route);
+    totals.limit = entry.limits.adapts ? entry.adaptive_limit.limit() : share_of(entry.limits.in_hand);
+    return totals;
 }
 
 }  // namespace copperfront
--- a/src/limits/admission.h
+++ b/src/limits/admission.h
@@ -1,7 +1,7 @@
-// Whether a query of a route is taken, and whether it may have one more attempt. One route's trouble does not
-// become another's: each has its own budgets, and a query over one of them is declined at once, with a time
-// to come back. Gateways share nothing: a limit stated for the fleet is divided by how many gateways there
-// are. Free of I/O and clocks.
+// Decides whether a request of a route is admitted and whether it may have another attempt. Each route has
+// its own budgets, so that an overload of one route does not affect others, and a request over a budget is
+// rejected at once with a time after which to retry. Gateways share nothing: a limit stated for the fleet is
+// divided by the number of gateways. No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,17 @@
 
 namespace copperfront {
 
-using RouteIndex = std::uint32_t;  // stays with a route's name for as long as the process runs
+using RouteIndex = std::uint32_t;  // stays with a route's name for the life of the process
 
 enum class Refusal { none, closed, rate, in_hand, held, prompt_tokens, answer_rate, adaptive };
 const char* text_of(Refusal why);
 
-struct Verdict {
+struct AdmissionDecision {
     Refusal why = Refusal::none;
-    Span come_back;
+    Span retry_after;
 };
 
-// What a route has in hand and has done, for status and for the log.
+// Current use and totals of a route, for status and log.
 struct RouteCounts {
     std::uint64_t taken = 0, refused = 0, over = 0, further_refused = 0, copies = 0;
     double in_hand = 0, held = 0, prompt_tokens = 0, limit = 0;
@@ -36,24 +36,26 @@
   public:
     Admission(int gateways, Instant now);
 
-    // The routes from now on, by index; an index that is missing is a route that is gone and drains. Budgets
-    // carry over: neither a reload nor a route that comes back frees what was spent. Queries in hand go on.
+    // Sets the routes, by index. A route whose index is missing is removed and drains. Budgets carry over:
+    // neither a reload nor a route that is added again restores what was spent. Requests in flight continue.
     void change(std::span<const RouteLimits> routes, int gateways, Instant now);
 
-    // This gateway's part of all that is stated for the fleet, in place of an even one; 0: even again.
-    void part_is(double share) { learned_ = share; }
+    // Sets this gateway's share of all limits that are stated for the fleet; 0: an equal share for each
+    // gateway.
+    void part_is(double share) { learned_share_ = share; }
 
-    // Taken if the verdict says so; query_over must then follow, once.
-    Verdict query_came(RouteIndex route, double prompt_tokens, bool again, Instant now);
-    void query_over(RouteIndex route, double prompt_tokens, bool began, Instant now);
-    // A query waits for its read, or no longer does.
+    // Admits the request if the decision says so; query_over must then follow once.
+    AdmissionDecision query_came(RouteIndex route, double prompt_tokens, bool is_repeat, Instant now);
+    void query_over(RouteIndex route, double prompt_tokens, bool had_first_token, Instant now);
+    // A request starts or stops waiting for its prefill.
     void held(RouteIndex route, int change);
     void first_attempt_started(RouteIndex route, Instant now);
     bool may_attempt_again(RouteIndex route, Instant now);
-    // How long after a query came a second copy may be thought of; 0: never.
-    Span copy_after(RouteIndex route) const;
-    // Takes one second copy out of its budget and out of that of further attempts; false: there is none left.
-    bool may_copy(RouteIndex route, Instant now);
+    // How long after its arrival a request may be hedged; 0: never.
+    Span hedge_after(RouteIndex route) const;
+    // Takes one hedge from the budget of hedges and from that of retries. Returns false if one of them is
+    // used up.
+    bool may_hedge(RouteIndex route, Instant now);
     void began(RouteIndex route, Span first_token, Instant now);
     void tokens_came(RouteIndex route, double tokens, Instant now);
 
@@ -61,28 +63,28 @@
     std::size_t size() const { return routes_.size(); }
 
   private:
-    struct Bucket {
-        double level = 0, rate = kNoLimit, most = 0;
-        Instant filled;
-        void change(double r, double m, Instant now, bool fresh);
-        void fill(Instant now);
-        Span until(double wanted) const;
+    struct TokenBucket {
+        double level = 0, rate = kNoLimit, capacity = 0;
+        Instant refilled_at;
+        void configure(double new_rate, double new_capacity, Instant now, bool is_new);
+        void refill(Instant now);
+        Span time_until(double target) const;
     };
     struct Route {
         RouteLimits limits;
-        Bucket queries, answers;
-        std::unique_ptr<RetryBudget> retries, copies;
-        LearnedQuantile first_tokens{0.95};
-        AdaptiveLimit adaptive;
+        TokenBucket request_bucket, answer_token_bucket;
+        std::unique_ptr<RetryBudget> retry_budget, hedge_budget;
+        LearnedQuantile first_token_ms{0.95};
+        AdaptiveLimit adaptive_limit;
         RouteCounts counts;
-        double tuned = 0;  // the part that its buckets are filled by
+        double applied_share = 0;  // the share that the rates of its buckets include
     };
-    double share() const { return learned_ > 0 ? learned_ : 1.0 / gateways_; }
-    double part(double of_fleet) const;
-    void tune(Route& r, Instant now, bool fresh);
+    double share() const { return learned_share_ > 0 ? learned_share_ : 1.0 / gateways_; }
+    double share_of(double fleet_limit) const;
+    void apply_share(Route& entry, Instant now, bool is_new);
 
     int gateways_;
-    double learned_ = 0;
+    double learned_share_ = 0;
     std::vector<Route> routes_;
 };
 
--- a/src/limits/fleet_share.cpp
+++ b/src/limits/fleet_share.cpp
@@ -6,32 +6,32 @@
 namespace copperfront {
 namespace {
 
-// All ours, from bench/limit_study. A rest is always parted evenly: with none, a gateway whose load grows
+// From bench/limit_study. Part of the limit is always divided evenly: otherwise a gateway whose load grows
 // while the fleet is full would never get more than it had.
-constexpr double kEvenPart = 0.2;
-constexpr double kMemoryS = 5;    // what was reported so long ago counts for 1/e
-constexpr double kSilenceS = 10;  // without a report for so long, nothing is known
+constexpr double kEvenWeight = 0.2;
+constexpr double kDecayTimeS = 5;       // a report of this age has weight 1/e
+constexpr double kReportTimeoutS = 10;  // without a report for this long, the even share applies
 
 double seconds(Span s) { return static_cast<double>(s.us) / 1e6; }
 
 }  // namespace
 
-void FleetShare::change(int gateways) { even_ = 1.0 / std::max(1, gateways); }
-
-void FleetShare::report(double own, double all, Instant now) {
-    // A report that is older than what this gateway has sent since may show less than its own; nobody has
-    // more than everything.
-    all = std::max(all, own);
-    if (all <= 0) return;
-    const double fade = std::exp(-std::clamp(seconds(now - heard_), 0.0, 1e6) / kMemoryS);
-    own_ = own_ * fade + own;
-    all_ = all_ * fade + all;
-    heard_ = std::max(heard_, now);
+void FleetShare::change(int gateways) { even_share_ = 1.0 / std::max(1, gateways); }
+
+void FleetShare::report(double own_tokens, double total_tokens, Instant now) {
+    // A report that is older than this gateway's latest attempts may show less than its own tokens. Its share
+    // is never more than everything.
+    total_tokens = std::max(total_tokens, own_tokens);
+    if (total_tokens <= 0) return;
+    const double decay = std::exp(-std::clamp(seconds(now - last_report_), 0.0, 1e6) / kDecayTimeS);
+    own_tokens_ = own_tokens_ * decay + own_tokens;
+    total_tokens_ = total_tokens_ * decay + total_tokens;
+    last_report_ = std::max(last_report_, now);
 }
 
 double FleetShare::value(Instant now) const {
-    if (all_ <= 0 || seconds(now - heard_) > kSilenceS) return even_;
-    return kEvenPart * even_ + (1 - kEvenPart) * own_ / all_;
+    if (total_tokens_ <= 0 || seconds(now - last_report_) > kReportTimeoutS) return even_share_;
+    return kEvenWeight * even_share_ + (1 - kEvenWeight) * own_tokens_ / total_tokens_;
 }
 
 }  // namespace copperfront
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -5,60 +5,60 @@
 
 namespace copperfront {
 
-RetryBudget::RetryBudget(double share, double floor, Span window, Instant now)
-    : share_(share), floor_(floor), window_(window), slot_began_(now) {}
+RetryBudget::RetryBudget(double share, double floor_per_s, Span window, Instant now)
+    : share_(share), floor_per_s_(floor_per_s), window_(window), slot_start_(now) {}
 
-void RetryBudget::move_on(Instant now) {
-    const Span slot = window_ * (1.0 / kSlots);
-    // Against a clock that stood still and then jumps: what is older than the window is let go in one step,
-    // not slot by slot.
-    if (now - slot_began_ >= window_ * 2) {
-        first_ = {};
-        further_ = {};
-        slot_began_ = now;
+void RetryBudget::advance(Instant now) {
+    const Span slot_length = window_ * (1.0 / kSlots);
+    // After a jump of the clock, everything older than the window is dropped in one step instead of slot by
+    // slot.
+    if (now - slot_start_ >= window_ * 2) {
+        first_attempts_ = {};
+        retries_ = {};
+        slot_start_ = now;
     }
-    while (now - slot_began_ >= slot) {
-        slot_began_ = slot_began_ + slot;
-        at_ = (at_ + 1) % kSlots;
-        first_[at_] = further_[at_] = 0;
+    while (now - slot_start_ >= slot_length) {
+        slot_start_ = slot_start_ + slot_length;
+        slot_ = (slot_ + 1) % kSlots;
+        first_attempts_[slot_] = retries_[slot_] = 0;
     }
-    firsts_ = std::accumulate(first_.begin(), first_.end(), 0.0);
-    furthers_ = std::accumulate(further_.begin(), further_.end(), 0.0);
+    first_attempt_total_ = std::accumulate(first_attempts_.begin(), first_attempts_.end(), 0.0);
+    retry_total_ = std::accumulate(retries_.begin(), retries_.end(), 0.0);
 }
 
 double RetryBudget::allowed() const {
-    return share_ * firsts_ + floor_ * static_cast<double>(window_.us) / 1e6;
+    return share_ * first_attempt_total_ + floor_per_s_ * static_cast<double>(window_.us) / 1e6;
 }
 
 void RetryBudget::first_attempt_started(Instant now, double weight) {
-    move_on(now);
-    first_[at_] += weight;
+    advance(now);
+    first_attempts_[slot_] += weight;
 }
 
-void RetryBudget::repeated_by_caller(Instant now) {
-    move_on(now);
-    further_[at_] += 1;
+void RetryBudget::record_client_repeat(Instant now) {
+    advance(now);
+    retries_[slot_] += 1;
 }
 
-bool RetryBudget::take(Instant now) {
-    if (left(now) < 1) return false;
-    further_[at_] += 1;
+bool RetryBudget::try_take(Instant now) {
+    if (remaining(now) < 1) return false;
+    retries_[slot_] += 1;
     return true;
 }
 
-double RetryBudget::left(Instant now) {
-    move_on(now);
-    return std::max(0.0, allowed() - furthers_);
+double RetryBudget::remaining(Instant now) {
+    advance(now);
+    return std::max(0.0, allowed() - retry_total_);
 }
 
-void RetryBudget::change(double share, double floor, Span window, Instant now) {
-    move_on(now);
+void RetryBudget::change(double share, double floor_per_s, Span window, Instant now) {
+    advance(now);
     share_ = share;
-    floor_ = floor;
+    floor_per_s_ = floor_per_s;
     if (window_ == window) return;
-    // The slots keep what they hold; only how fast they pass changes.
+    // The slots keep their counts; only their length changes.
     window_ = window;
-    slot_began_ = now;
+    slot_start_ = now;
 }
 
 }  // namespace copperfront
--- a/src/limits/retry_budget.h
+++ b/src/limits/retry_budget.h
@@ -1,6 +1,6 @@
-// Further attempts of a route as a share of its first ones over a sliding window, plus a small floor: a
-// failure of the whole fleet then costs that share more load, not several times the load. Free of I/O and
-// clocks.
+// Retry budget of a route: retries as a share of first attempts over a sliding window, plus a small rate that
+// is always allowed. A failure of the whole fleet then adds only that share of load instead of multiplying
+// it. No I/O and no clock.
 #pragma once
 
 #include <array>
@@ -12,28 +12,29 @@
 
 class RetryBudget {
   public:
-    // `share` of first attempts, and `floor` attempts a second besides, over `window`.
-    RetryBudget(double share, double floor, Span window, Instant now);
+    // Allows `share` of first attempts, and `floor_per_s` attempts per second besides, over `window`.
+    RetryBudget(double share, double floor_per_s, Span window, Instant now);
     void first_attempt_started(Instant now, double weight = 1);
-    // Takes one further attempt out of the budget; false, and nothing is taken, where there is none left.
-    bool take(Instant now);
-    // A caller's own repeat: it is a first attempt here, but further load for the fleet.
-    void repeated_by_caller(Instant now);
-    double left(Instant now);
-    // Other figures from now on; what was spent stays spent, so that a reload frees nothing.
-    void change(double share, double floor, Span window, Instant now);
+    // Takes one retry from the budget. Returns false, and takes nothing, if none is left.
+    bool try_take(Instant now);
+    // Records a client's own repetition of a request: a first attempt here, but additional load for the
+    // fleet.
+    void record_client_repeat(Instant now);
+    double remaining(Instant now);
+    // Sets other limits. What was spent stays spent, so that a reload restores nothing.
+    void change(double share, double floor_per_s, Span window, Instant now);
 
   private:
-    static constexpr std::size_t kSlots = 20;  // the window moves on in twentieths
-    void move_on(Instant now);
+    static constexpr std::size_t kSlots = 20;  // the window advances in steps of a twentieth
+    void advance(Instant now);
     double allowed() const;
 
-    double share_, floor_;
+    double share_, floor_per_s_;
     Span window_;
-    Instant slot_began_;
-    std::size_t at_ = 0;
-    std::array<double, kSlots> first_{}, further_{};
-    double firsts_ = 0, furthers_ = 0;
+    Instant slot_start_;
+    std::size_t slot_ = 0;
+    std::array<double, kSlots> first_attempts_{}, retries_{};
+    double first_attempt_total_ = 0, retry_total_ = 0;
 };
 
 }  // namespace copperfront
--- a/src/limits/route_limits.h
+++ b/src/limits/route_limits.h
@@ -1,5 +1,5 @@
-// The limits of one route, as they hold after inheritance. Plain figures: the routing module never sees a
-// route's name, only what of this it is told as terms of a query.
+// The limits of one route, after inheritance. Plain numbers: the router never sees a route's name, only those
+// limits that are passed with a request.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,27 @@
 
 // Why an attempt is followed by another.
 enum class Cause { unreachable, full, failed, silent };
-constexpr int kCauses = 4;
+constexpr int kRetryCauses = 4;
 
 struct RouteLimits {
-    // Time limits; 0: none beyond the query's hard stop.
+    // Time limits; 0: none beyond the request's deadline.
     Span connect, read, hand_over, first_token, gap, whole;
-    // Attempts.
     std::uint32_t most_attempts = kAnyNumber;
-    std::uint32_t most_after[kCauses] = {kAnyNumber, kAnyNumber, kAnyNumber, kAnyNumber};
-    // Further attempts as a share of first ones over a window, and so many a second besides.
+    std::uint32_t most_after[kRetryCauses] = {kAnyNumber, kAnyNumber, kAnyNumber, kAnyNumber};
+    // Retries as a share of first attempts over a window, and a number per second besides.
     double retry_share = kNoLimit, retry_floor = 0;
     Span retry_window{10000000};
-    // Second copies of pure queries: after so long without a first token (0: learned), as a share of queries.
+    // Hedging of pure requests: after this time without a first token (0: learned), as a share of requests.
     bool second_copies = false;
     Span second_after;
     double second_share = 0.05;
-    // Load, stated for the whole fleet of gateways.
-    double rate = kNoLimit, burst = 0;  // queries a second, and how many at once
+    // Load limits, stated for all gateways of the fleet together.
+    double rate = kNoLimit, burst = 0;  // requests per second, and how many at once
     double in_hand = kNoLimit, held = kNoLimit;
-    double prompt_tokens = kNoLimit;  // of queries in hand
-    double answer_rate = kNoLimit;    // answer tokens a second
-    bool adapts = false;              // a limit on queries in hand that finds itself
-    bool closed = false;              // takes nothing, and that is meant
+    double prompt_tokens = kNoLimit;  // of requests in flight
+    double answer_rate = kNoLimit;    // answer tokens per second
+    bool adapts = false;              // adaptive limit of the requests in flight
+    bool closed = false;              // admits nothing, by intention
     Span stay_away{1000000};
 };
 
--- a/src/limits/stream_watch.cpp
+++ b/src/limits/stream_watch.cpp
@@ -4,9 +4,9 @@
 
 namespace copperfront {
 
-// Twice the wanted time between tokens still earns a late answer's gain, so a stream at that pace is not
+// At twice the wanted time between tokens a late answer still has some value, so a stream at that pace is not
 // broken.
-Span longest_silence(const Category& category, Span budget) {
+Span max_stream_silence(const Category& category, Span budget) {
     return std::max(budget, category.token_gap * 2);
 }
 
--- a/tests/desk/desk_test.cpp
+++ b/tests/desk/desk_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the desk against one tiny outside. The rules inside are the real ones.
+// Tests of the dispatcher with the real router and a fake host.
 #include "desk/desk.h"
 
 #include <cassert>
@@ -13,7 +13,7 @@
 
 constexpr Span ms(std::int64_t x) { return {x * 1000}; }
 
-Terms terms() {
+Terms test_terms() {
     Terms t;
     t.categories.resize(2);
     t.categories[0].latency_goal = ms(1500);
@@ -28,7 +28,7 @@
     return t;
 }
 
-Arrival facts(std::uint16_t category) {
+Arrival arrival_of(std::uint16_t category) {
     Arrival a;
     a.category = category;
     a.prompt_tokens = 1000;
@@ -37,316 +37,320 @@
     return a;
 }
 
-struct Story {
-    FakeOutside world;
-    Desk desk{terms(), world, 7};
+struct Fixture {
+    FakeOutside host;
+    Desk desk{test_terms(), host, 7};
 
-    Story() {
+    Fixture() {
         std::vector<Listing> list(4);
         for (ServerIndex s = 0; s < 4; ++s) {
             list[s].server = s;
-            list[s].kind = s < 2 ? 0 : 1;  // two readers, two writers
+            list[s].kind = s < 2 ? 0 : 1;  // two prefill servers, two decode servers
             list[s].mark = s + 1;
         }
         desk.list_arrived(list, true);
     }
-    QueryIndex ask(std::uint16_t category = 0) {
+    QueryIndex send_request(std::uint16_t category = 0) {
         const QueryIndex q = desk.open();
-        desk.query_came(q, facts(category));
+        desk.query_came(q, arrival_of(category));
         return q;
     }
-    void answer(AttemptId attempt, Ending ending) {
+    void end_attempt(AttemptId attempt, Ending ending) {
         Outcome o;
         o.ending = ending;
         desk.attempt_ended(attempt, o);
     }
-    void pass(Span time) {
-        const Instant until = world.clock + time;
-        while (world.wish <= until) {
-            world.clock = std::max(world.clock, world.wish);
-            world.wish = {INT64_MAX};
+    void advance(Span time) {
+        const Instant until = host.clock + time;
+        while (host.next_wakeup <= until) {
+            host.clock = std::max(host.clock, host.next_wakeup);
+            host.next_wakeup = {INT64_MAX};
             desk.time_came();
         }
-        world.clock = until;
+        host.clock = until;
     }
-    const Sent& last() const { return world.sent.back(); }
+    const Sent& last_sent() const { return host.sent.back(); }
 };
 
-void a_query_is_read_written_and_settled() {
-    Story s;
-    const QueryIndex q = s.ask();
-    assert(s.last().reading);
-    const AttemptId read = s.last().attempt;
-    s.world.clock = s.world.clock + ms(50);
-    s.answer(read, Ending::read);
-    assert(!s.last().reading && s.last().state == read);
-    QueryIndex whose = 99;
-    assert(s.desk.token_came(s.last().attempt, whose) && whose == q);
-    assert(s.desk.token_came(s.last().attempt, whose));
-    s.answer(s.last().attempt, Ending::settled);
-    assert(s.world.answers[q] == std::vector<std::string>{"settled"});
-    assert(s.world.released.empty());  // the writer has taken the state
-    s.ask();
-    assert(s.world.closed_queries == std::vector<QueryIndex>{q});
+void request_is_prefilled_decoded_and_completed() {
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    assert(s.last_sent().reading);
+    const AttemptId prefill = s.last_sent().attempt;
+    s.host.clock = s.host.clock + ms(50);
+    s.end_attempt(prefill, Ending::read);
+    assert(!s.last_sent().reading && s.last_sent().state == prefill);
+    QueryIndex owner = 99;
+    assert(s.desk.token_came(s.last_sent().attempt, owner) && owner == q);
+    assert(s.desk.token_came(s.last_sent().attempt, owner));
+    s.end_attempt(s.last_sent().attempt, Ending::settled);
+    assert(s.host.answers[q] == std::vector<std::string>{"completed"});
+    assert(s.host.released.empty());  // the decode server has taken the state
+    s.send_request();
+    assert(s.host.closed_queries == std::vector<QueryIndex>{q});
 }
 
-// Against a second final answer: whatever an engine says later of a query that is over.
+// Guards against a second final answer when a server still sends something for a request that has ended.
 void nothing_follows_the_final_answer() {
-    Story s;
-    const QueryIndex q = s.ask();
-    s.answer(s.last().attempt, Ending::read);
-    const AttemptId write = s.last().attempt;
-    QueryIndex whose = 0;
-    s.desk.token_came(write, whose);
-    s.answer(write, Ending::broken);
-    assert(s.world.answers[q] == std::vector<std::string>{"given up: the stream broke"});
-    assert(!s.desk.token_came(write, whose));
-    s.answer(write, Ending::settled);
-    s.pass(ms(20000));
-    assert(s.world.answers[q].size() == 1);
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    s.end_attempt(s.last_sent().attempt, Ending::read);
+    const AttemptId decode = s.last_sent().attempt;
+    QueryIndex owner = 0;
+    s.desk.token_came(decode, owner);
+    s.end_attempt(decode, Ending::broken);
+    assert(s.host.answers[q] == std::vector<std::string>{"abandoned: the stream broke"});
+    assert(!s.desk.token_came(decode, owner));
+    s.end_attempt(decode, Ending::settled);
+    s.advance(ms(20000));
+    assert(s.host.answers[q].size() == 1);
     assert(s.desk.open_queries() == 0 && s.desk.attempts_out() == 0);
 }
 
-// Against answers whose end is lost in silence: the caller would wait for ever.
-void a_silent_stream_is_given_up() {
-    Story s;
-    const QueryIndex q = s.ask();
-    s.answer(s.last().attempt, Ending::read);
-    const AttemptId write = s.last().attempt;
-    QueryIndex whose = 0;
-    s.desk.token_came(write, whose);
-    s.pass(ms(5000));
-    s.desk.token_came(write, whose);  // slow, but alive
-    s.pass(ms(5900));
-    assert(s.world.answers[q].empty());
-    s.pass(ms(200));
-    assert(s.world.answers[q] == std::vector<std::string>{"given up: the stream broke"});
-    assert(s.world.called_off == std::vector<AttemptId>{write});
+// Guards against an answer whose end is lost: the client would wait for ever.
+void silent_stream_is_abandoned() {
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    s.end_attempt(s.last_sent().attempt, Ending::read);
+    const AttemptId decode = s.last_sent().attempt;
+    QueryIndex owner = 0;
+    s.desk.token_came(decode, owner);
+    s.advance(ms(5000));
+    s.desk.token_came(decode, owner);  // slow, but alive
+    s.advance(ms(5900));
+    assert(s.host.answers[q].empty());
+    s.advance(ms(200));
+    assert(s.host.answers[q] == std::vector<std::string>{"abandoned: the stream broke"});
+    assert(s.host.cancelled == std::vector<AttemptId>{decode});
 }
 
-void a_caller_that_leaves_ends_its_stream() {
-    Story s;
-    const QueryIndex q = s.ask();
-    s.answer(s.last().attempt, Ending::read);
-    const AttemptId write = s.last().attempt;
-    QueryIndex whose = 0;
-    s.desk.token_came(write, whose);
+void departed_client_ends_its_stream() {
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    s.end_attempt(s.last_sent().attempt, Ending::read);
+    const AttemptId decode = s.last_sent().attempt;
+    QueryIndex owner = 0;
+    s.desk.token_came(decode, owner);
     s.desk.query_left(q);
-    assert(s.world.called_off == std::vector<AttemptId>{write});
-    assert(s.world.answers[q].empty());
+    assert(s.host.cancelled == std::vector<AttemptId>{decode});
+    assert(s.host.answers[q].empty());
     assert(s.desk.attempts_out() == 0);
 }
 
-// Against states pinned by a read whose caller left, or whose answer never came.
-void what_a_lost_read_left_is_let_go() {
-    Story s;
-    const QueryIndex q = s.ask();
-    const Sent read = s.last();
+// Guards against states that stay held after a prefill whose client left or whose answer never arrived.
+void state_of_a_lost_prefill_is_released() {
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    const Sent prefill = s.last_sent();
     s.desk.query_left(q);
-    assert(s.world.called_off == std::vector<AttemptId>{read.attempt});
-    assert((s.world.released == std::vector<std::pair<ServerIndex, AttemptId>>{{read.to, read.attempt}}));
+    assert(s.host.cancelled == std::vector<AttemptId>{prefill.attempt});
+    assert(
+        (s.host.released == std::vector<std::pair<ServerIndex, AttemptId>>{{prefill.to, prefill.attempt}}));
 
-    Story other;
-    other.ask();
-    const Sent lost = other.last();
-    other.answer(lost.attempt, Ending::broken);
-    assert((other.world.released == std::vector<std::pair<ServerIndex, AttemptId>>{{lost.to, lost.attempt}}));
+    Fixture other;
+    other.send_request();
+    const Sent lost = other.last_sent();
+    other.end_attempt(lost.attempt, Ending::broken);
+    assert((other.host.released == std::vector<std::pair<ServerIndex, AttemptId>>{{lost.to, lost.attempt}}));
 }
 
-// Against a state let go under a write that is on its way to fetch it.
-void a_state_that_an_attempt_waits_for_is_kept() {
-    Story s;
-    s.ask();
-    const AttemptId read = s.last().attempt;
-    s.answer(read, Ending::read);
-    s.pass(ms(900));
-    assert(s.world.released.empty());
+// Guards against the release of a state that a decode attempt is about to fetch.
+void state_awaited_by_an_attempt_is_kept() {
+    Fixture s;
+    s.send_request();
+    const AttemptId prefill = s.last_sent().attempt;
+    s.end_attempt(prefill, Ending::read);
+    s.advance(ms(900));
+    assert(s.host.released.empty());
     Outcome full;
     full.ending = Ending::full;
-    s.desk.attempt_ended(s.last().attempt, full);
-    assert(s.last().state == read);  // the next writer takes it
-    assert(s.world.released.empty());
+    s.desk.attempt_ended(s.last_sent().attempt, full);
+    assert(s.last_sent().state == prefill);  // the next decode server takes it
+    assert(s.host.released.empty());
 }
 
-void an_effectful_query_is_never_sent_twice() {
-    Story s;
-    const QueryIndex q = s.ask(1);
-    s.answer(s.last().attempt, Ending::read);
-    const std::size_t before = s.world.sent.size();
-    s.answer(s.last().attempt, Ending::broken);
-    s.pass(ms(10000));
-    assert(s.world.sent.size() == before);
-    assert(s.world.answers[q].size() == 1 && s.world.answers[q][0].rfind("given up", 0) == 0);
+void effectful_request_is_never_sent_twice() {
+    Fixture s;
+    const QueryIndex q = s.send_request(1);
+    s.end_attempt(s.last_sent().attempt, Ending::read);
+    const std::size_t before = s.host.sent.size();
+    s.end_attempt(s.last_sent().attempt, Ending::broken);
+    s.advance(ms(10000));
+    assert(s.host.sent.size() == before);
+    assert(s.host.answers[q].size() == 1 && s.host.answers[q][0].rfind("abandoned", 0) == 0);
 }
 
-void unanswered_attempts_end_by_the_hard_stop() {
-    Story s;
-    const QueryIndex q = s.ask();
-    s.pass(ms(5990));
-    assert(s.world.answers[q].empty());
-    s.pass(ms(6));
-    assert(s.world.answers[q].size() == 1);
+void unanswered_attempts_end_by_the_deadline() {
+    Fixture s;
+    const QueryIndex q = s.send_request();
+    s.advance(ms(5990));
+    assert(s.host.answers[q].empty());
+    s.advance(ms(6));
+    assert(s.host.answers[q].size() == 1);
     assert(s.desk.attempts_out() == 0);
 }
 
-void a_stop_gives_up_what_is_left() {
-    Story s;
-    const QueryIndex a = s.ask(), b = s.ask();
+void shutdown_abandons_open_requests() {
+    Fixture s;
+    const QueryIndex a = s.send_request(), b = s.send_request();
     s.desk.give_up_all("the gateway stops");
-    assert(s.world.answers[a].size() == 1 && s.world.answers[b].size() == 1);
+    assert(s.host.answers[a].size() == 1 && s.host.answers[b].size() == 1);
     assert(s.desk.open_queries() == 0);
 }
 
-// A story in which the route allows second copies after 200 ms.
-struct CopyStory : Story {
+// A fixture whose route allows hedging after 200 ms.
+struct HedgeFixture : Fixture {
     RouteLimits limits;
-    CopyStory() {
+    HedgeFixture() {
         limits.second_copies = true;
         limits.second_after = ms(200);
         limits.second_share = 1;
-        desk.terms_changed(terms(), {{limits}});
+        desk.terms_changed(test_terms(), {{limits}});
     }
-    QueryIndex ask_copied(std::uint16_t category = 0) {
+    QueryIndex send_hedged_request(std::uint16_t category = 0) {
         const QueryIndex q = desk.open();
-        desk.query_came(q, facts(category), 0, limits);
+        desk.query_came(q, arrival_of(category), 0, limits);
         return q;
     }
 };
 
-// Against one slow engine: the copy goes elsewhere, its answer is the query's, and the slow one is called
-// off.
-void a_second_copy_wins_and_the_slow_one_is_called_off() {
-    CopyStory s;
-    const QueryIndex q = s.ask_copied();
-    const Sent slow = s.last();
-    s.pass(ms(199));
-    assert(s.world.sent.size() == 1);
-    s.pass(ms(2));
-    assert(s.world.sent.size() == 2);
-    const Sent copy = s.last();
-    assert(copy.reading && copy.query == q && copy.to != slow.to);
-    s.answer(copy.attempt, Ending::read);
-    QueryIndex whose = 99;
-    const AttemptId write = s.last().attempt;
-    assert(s.desk.token_came(write, whose) && whose == q);
-    assert(s.world.called_off == std::vector<AttemptId>{slow.attempt});
-    assert((s.world.released == std::vector<std::pair<ServerIndex, AttemptId>>{{slow.to, slow.attempt}}));
-    assert(s.desk.token_came(write, whose) && whose == q);
-    s.answer(write, Ending::settled);
-    assert(s.world.answers[q] == std::vector<std::string>{"settled"});
-    s.pass(ms(10000));
+// One slow server: the hedge goes to another one, its answer becomes the answer to the request, and the slow
+// attempt is cancelled.
+void hedge_wins_and_the_slow_attempt_is_cancelled() {
+    HedgeFixture s;
+    const QueryIndex q = s.send_hedged_request();
+    const Sent slow_attempt = s.last_sent();
+    s.advance(ms(199));
+    assert(s.host.sent.size() == 1);
+    s.advance(ms(2));
+    assert(s.host.sent.size() == 2);
+    const Sent hedge = s.last_sent();
+    assert(hedge.reading && hedge.query == q && hedge.to != slow_attempt.to);
+    s.end_attempt(hedge.attempt, Ending::read);
+    QueryIndex owner = 99;
+    const AttemptId decode = s.last_sent().attempt;
+    assert(s.desk.token_came(decode, owner) && owner == q);
+    assert(s.host.cancelled == std::vector<AttemptId>{slow_attempt.attempt});
+    assert((s.host.released ==
+            std::vector<std::pair<ServerIndex, AttemptId>>{{slow_attempt.to, slow_attempt.attempt}}));
+    assert(s.desk.token_came(decode, owner) && owner == q);
+    s.end_attempt(decode, Ending::settled);
+    assert(s.host.answers[q] == std::vector<std::string>{"completed"});
+    s.advance(ms(10000));
     s.desk.open();
-    assert(s.world.answers[q].size() == 1 && s.world.closed_queries == std::vector<QueryIndex>{q});
+    assert(s.host.answers[q].size() == 1 && s.host.closed_queries == std::vector<QueryIndex>{q});
     assert(s.desk.open_queries() == 0 && s.desk.attempts_out() == 0);
 }
 
-void the_first_may_still_win() {
-    CopyStory s;
-    const QueryIndex q = s.ask_copied();
-    const Sent slow = s.last();
-    s.pass(ms(201));
-    const Sent copy = s.last();
-    s.answer(slow.attempt, Ending::read);
-    QueryIndex whose = 99;
-    assert(s.desk.token_came(s.last().attempt, whose) && whose == q);
-    assert(s.world.called_off == std::vector<AttemptId>{copy.attempt});
-    s.answer(s.last().attempt, Ending::settled);
-    assert(s.world.answers[q] == std::vector<std::string>{"settled"});
-    s.pass(ms(10000));
-    assert(s.world.answers[q].size() == 1 && s.desk.attempts_out() == 0);
+void first_attempt_may_still_win() {
+    HedgeFixture s;
+    const QueryIndex q = s.send_hedged_request();
+    const Sent slow_attempt = s.last_sent();
+    s.advance(ms(201));
+    const Sent hedge = s.last_sent();
+    s.end_attempt(slow_attempt.attempt, Ending::read);
+    QueryIndex owner = 99;
+    assert(s.desk.token_came(s.last_sent().attempt, owner) && owner == q);
+    assert(s.host.cancelled == std::vector<AttemptId>{hedge.attempt});
+    s.end_attempt(s.last_sent().attempt, Ending::settled);
+    assert(s.host.answers[q] == std::vector<std::string>{"completed"});
+    s.advance(ms(10000));
+    assert(s.host.answers[q].size() == 1 && s.desk.attempts_out() == 0);
 }
 
-// One of the two may end badly; only when both have is there an answer, and then one.
-void two_copies_make_one_answer() {
-    CopyStory s;
-    const QueryIndex q = s.ask_copied();
-    s.pass(ms(201));
-    assert(s.world.sent.size() == 2);
-    s.pass(ms(6000));
-    assert(s.world.answers[q].size() == 1 && s.desk.open_queries() == 0 && s.desk.attempts_out() == 0);
+// One of the two attempts may fail; the request is answered only when both have, and then once.
+void hedged_request_gets_one_answer() {
+    HedgeFixture s;
+    const QueryIndex q = s.send_hedged_request();
+    s.advance(ms(201));
+    assert(s.host.sent.size() == 2);
+    s.advance(ms(6000));
+    assert(s.host.answers[q].size() == 1 && s.desk.open_queries() == 0 && s.desk.attempts_out() == 0);
 
-    CopyStory left;
-    const QueryIndex gone = left.ask_copied();
-    left.pass(ms(201));
-    left.desk.query_left(gone);
-    assert(left.world.answers[gone].empty() && left.world.called_off.size() == 2 &&
-           left.desk.attempts_out() == 0);
+    HedgeFixture departed;
+    const QueryIndex abandoned_request = departed.send_hedged_request();
+    departed.advance(ms(201));
+    departed.desk.query_left(abandoned_request);
+    assert(departed.host.answers[abandoned_request].empty() && departed.host.cancelled.size() == 2 &&
+           departed.desk.attempts_out() == 0);
 }
 
-// Rule 2: what is not pure has never two attempts out.
-void only_pure_queries_are_copied_and_only_within_the_budget() {
-    CopyStory s;
-    s.ask_copied(1);
-    s.pass(ms(1000));
-    assert(s.world.sent.size() == 1);
-    CopyStory few;
-    few.limits.second_share = 0.1;
-    few.desk.terms_changed(terms(), {{few.limits}});
-    for (int n = 0; n < 30; ++n) few.ask_copied();
-    few.pass(ms(250));
-    assert(few.desk.tally().copies >= 1 && few.desk.tally().copies <= 3);
+// Rule 2: a request that is not pure never has two attempts in flight.
+void only_pure_requests_are_hedged_and_only_within_the_budget() {
+    HedgeFixture s;
+    s.send_hedged_request(1);
+    s.advance(ms(1000));
+    assert(s.host.sent.size() == 1);
+    HedgeFixture small_budget;
+    small_budget.limits.second_share = 0.1;
+    small_budget.desk.terms_changed(test_terms(), {{small_budget.limits}});
+    for (int n = 0; n < 30; ++n) small_budget.send_hedged_request();
+    small_budget.advance(ms(250));
+    assert(small_budget.desk.tally().copies >= 1 && small_budget.desk.tally().copies <= 3);
 }
 
-// Against a dear or dead connection that eats the time for the whole read: an attempt that was never sent has
-// not run, so even an effectful query goes elsewhere, and what was sent is left alone.
-void an_attempt_that_waits_too_long_for_its_connection_goes_elsewhere() {
+// Guards against a slow or dead connection that uses up the time for the whole prefill. An attempt that was
+// never sent has not run, so even an effectful request is retried elsewhere; an attempt that was sent is left
+// alone.
+void attempt_is_moved_when_its_connection_takes_too_long() {
     for (std::uint16_t category = 0; category < 2; ++category) {
-        Story s;
+        Fixture s;
         RouteLimits limits;
         limits.connect = ms(50);
-        s.desk.terms_changed(terms(), {{limits}});
+        s.desk.terms_changed(test_terms(), {{limits}});
         const QueryIndex q = s.desk.open();
-        s.world.unsent = {1, 3};
-        s.desk.query_came(q, facts(category), 0, limits);
-        const Sent first = s.last();
-        s.pass(ms(49));
-        assert(s.world.sent.size() == 1);
-        s.pass(ms(2));
-        assert(s.world.sent.size() == 2 && s.last().reading && s.last().to != first.to);
-        assert(s.world.called_off.empty() && s.desk.tally().not_connected == 1);
-        s.pass(ms(200));  // this one was sent
-        assert(s.world.sent.size() == 2);
-        s.answer(s.last().attempt, Ending::read);
-        const Sent write = s.last();
-        s.pass(ms(51));
-        assert(s.last().attempt != write.attempt && !s.last().reading && s.last().to != write.to);
-        s.answer(s.last().attempt, Ending::settled);
-        assert(s.world.answers[q] == std::vector<std::string>{"settled"});
+        s.host.waiting_for_connection = {1, 3};
+        s.desk.query_came(q, arrival_of(category), 0, limits);
+        const Sent first = s.last_sent();
+        s.advance(ms(49));
+        assert(s.host.sent.size() == 1);
+        s.advance(ms(2));
+        assert(s.host.sent.size() == 2 && s.last_sent().reading && s.last_sent().to != first.to);
+        assert(s.host.cancelled.empty() && s.desk.tally().not_connected == 1);
+        s.advance(ms(200));  // this one was sent
+        assert(s.host.sent.size() == 2);
+        s.end_attempt(s.last_sent().attempt, Ending::read);
+        const Sent decode = s.last_sent();
+        s.advance(ms(51));
+        assert(s.last_sent().attempt != decode.attempt && !s.last_sent().reading &&
+               s.last_sent().to != decode.to);
+        s.end_attempt(s.last_sent().attempt, Ending::settled);
+        assert(s.host.answers[q] == std::vector<std::string>{"completed"});
         assert(s.desk.tally().not_connected == 2);
     }
 }
 
-// A gateway that has most of what a writer reports takes most of a fleet's limit, and no more when it is told
-// no more.
-void a_part_of_the_fleet_is_learned_from_reports() {
-    Story s;
-    Terms many = terms();
+// A gateway that causes most of the memory use reported by a decode server gets most of the fleet's limit,
+// and no longer when the reports stop saying so.
+void fleet_share_is_learned_from_reports() {
+    Fixture s;
+    Terms many = test_terms();
     many.gateways = 10;
     s.desk.terms_changed(many, {{RouteLimits{}}});
     assert(s.desk.part() == 0.1);
     s.desk.parts_are_learned(true);
-    const auto write_one = [&](double told_by_reader, double told_by_writer) {
-        s.ask();
-        Outcome read;
-        read.ending = Ending::read;
-        read.report.memory_share = told_by_reader;
-        s.desk.attempt_ended(s.last().attempt, read);
-        Outcome settled;
-        settled.ending = Ending::settled;
-        settled.report.memory_share = told_by_writer;
-        s.desk.attempt_ended(s.last().attempt, settled);
+    const auto complete_request = [&](double prefill_memory_share, double decode_memory_share) {
+        s.send_request();
+        Outcome prefill;
+        prefill.ending = Ending::read;
+        prefill.report.memory_share = prefill_memory_share;
+        s.desk.attempt_ended(s.last_sent().attempt, prefill);
+        Outcome decoded;
+        decoded.ending = Ending::settled;
+        decoded.report.memory_share = decode_memory_share;
+        s.desk.attempt_ended(s.last_sent().attempt, decoded);
     };
-    write_one(0.9, 0);  // a reader's texts are nobody's share
+    complete_request(0.9, 0);  // cached prefixes on a prefill server count for no gateway
     assert(s.desk.part() == 0.1);
-    write_one(-1, 0.05);  // all of what the writer has is others'
+    complete_request(-1, 0.05);  // everything on the decode server belongs to other gateways
     assert(s.desk.part() < 0.03);
-    // Two that this gateway has there: 2,000 of the 4,000 tokens that it reports.
+    // This gateway has two requests there: 2,000 of the 4,000 tokens that the server reports.
     for (int n = 0; n < 40; ++n) {
-        s.ask();
-        s.answer(s.last().attempt, Ending::read);
+        s.send_request();
+        s.end_attempt(s.last_sent().attempt, Ending::read);
     }
     for (int n = 0; n < 200; ++n) {
-        s.pass(ms(1));
+        s.advance(ms(1));
         LoadReport report;
         report.memory_share = 0.4;
         s.desk.probe_answered(2, true, report);
@@ -355,54 +359,56 @@
     assert(s.desk.part() > 0.3 && s.desk.part() < 0.5);
 }
 
-// Against a reload that finds second copies out: those that run keep the terms that they came with and still
-// make one answer; what comes afterwards under the changed category is never out twice.
-void a_category_turns_effectful_while_second_copies_run() {
-    CopyStory s;
-    const QueryIndex early = s.ask_copied(), later = s.ask_copied();
-    s.pass(ms(201));
-    assert(s.world.sent.size() == 4);
-    Terms turned = terms();
-    turned.categories.push_back(turned.categories[0]);  // as a gateway does it: the same name, a new index
-    turned.categories[2].effect = Effect::effectful;
-    s.desk.terms_changed(turned, {{s.limits}});
-    assert(s.world.called_off.empty());
-    const QueryIndex fresh = s.ask_copied(2);
-    s.pass(ms(1000));
-    assert(s.world.sent.size() == 5);
-    const AttemptId only = s.last().attempt, copy = s.world.sent[3].attempt, slow = s.world.sent[0].attempt;
-    for (const AttemptId read : {slow, copy, only}) s.answer(read, Ending::read);
-    QueryIndex whose = 99;
-    std::map<QueryIndex, int> writes;
-    for (std::size_t n = 5; n < s.world.sent.size(); ++n) {
-        ++writes[s.world.sent[n].query];
-        s.desk.token_came(s.world.sent[n].attempt, whose);
-        s.answer(s.world.sent[n].attempt, Ending::settled);
+// A reload while hedges run: these keep the terms with which they arrived and still yield one answer each,
+// and later requests of the changed category never have two attempts in flight.
+void category_becomes_effectful_while_hedges_run() {
+    HedgeFixture s;
+    const QueryIndex early = s.send_hedged_request(), later = s.send_hedged_request();
+    s.advance(ms(201));
+    assert(s.host.sent.size() == 4);
+    Terms changed_terms = test_terms();
+    changed_terms.categories.push_back(
+        changed_terms.categories[0]);  // as a gateway does it: the same name, a new index
+    changed_terms.categories[2].effect = Effect::effectful;
+    s.desk.terms_changed(changed_terms, {{s.limits}});
+    assert(s.host.cancelled.empty());
+    const QueryIndex after_change = s.send_hedged_request(2);
+    s.advance(ms(1000));
+    assert(s.host.sent.size() == 5);
+    const AttemptId only_attempt = s.last_sent().attempt, hedge = s.host.sent[3].attempt,
+                    slow_attempt = s.host.sent[0].attempt;
+    for (const AttemptId prefill : {slow_attempt, hedge, only_attempt}) s.end_attempt(prefill, Ending::read);
+    QueryIndex owner = 99;
+    std::map<QueryIndex, int> decodes_by_request;
+    for (std::size_t n = 5; n < s.host.sent.size(); ++n) {
+        ++decodes_by_request[s.host.sent[n].query];
+        s.desk.token_came(s.host.sent[n].attempt, owner);
+        s.end_attempt(s.host.sent[n].attempt, Ending::settled);
     }
-    assert(writes[fresh] == 1);
-    s.pass(ms(10000));
-    for (const QueryIndex q : {early, later, fresh})
-        assert(s.world.answers[q] == std::vector<std::string>{"settled"});
+    assert(decodes_by_request[after_change] == 1);
+    s.advance(ms(10000));
+    for (const QueryIndex q : {early, later, after_change})
+        assert(s.host.answers[q] == std::vector<std::string>{"completed"});
     assert(s.desk.attempts_out() == 0 && s.desk.open_queries() == 0);
 }
 
 }  // namespace
 
 int main() {
-    an_attempt_that_waits_too_long_for_its_connection_goes_elsewhere();
-    a_category_turns_effectful_while_second_copies_run();
-    a_part_of_the_fleet_is_learned_from_reports();
-    a_query_is_read_written_and_settled();
+    attempt_is_moved_when_its_connection_takes_too_long();
+    category_becomes_effectful_while_hedges_run();
+    fleet_share_is_learned_from_reports();
+    request_is_prefilled_decoded_and_completed();
     nothing_follows_the_final_answer();
-    a_silent_stream_is_given_up();
-    a_caller_that_leaves_ends_its_stream();
-    what_a_lost_read_left_is_let_go();
-    a_state_that_an_attempt_waits_for_is_kept();
-    an_effectful_query_is_never_sent_twice();
-    unanswered_attempts_end_by_the_hard_stop();
-    a_stop_gives_up_what_is_left();
-    a_second_copy_wins_and_the_slow_one_is_called_off();
-    the_first_may_still_win();
-    two_copies_make_one_answer();
-    only_pure_queries_are_copied_and_only_within_the_budget();
+    silent_stream_is_abandoned();
+    departed_client_ends_its_stream();
+    state_of_a_lost_prefill_is_released();
+    state_awaited_by_an_attempt_is_kept();
+    effectful_request_is_never_sent_twice();
+    unanswered_attempts_end_by_the_deadline();
+    shutdown_abandons_open_requests();
+    hedge_wins_and_the_slow_attempt_is_cancelled();
+    first_attempt_may_still_win();
+    hedged_request_gets_one_answer();
+    only_pure_requests_are_hedged_and_only_within_the_budget();
 }
--- a/tests/desk/play_test.cpp
+++ b/tests/desk/play_test.cpp
@@ -1,6 +1,6 @@
-// Any terms file that is accepted, played against random events: whatever engines answer, lose or forget,
-// whoever leaves and whenever the terms change, the rules hold. A file that would break one is refused
-// (tests/terms).
+// Plays random events against random accepted terms files: whatever servers answer, lose or forget, whichever
+// clients leave and whenever the terms change, the rules hold. A terms file that would break a rule is
+// rejected when it is read (tests/terms).
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -19,12 +19,12 @@
 namespace {
 
 constexpr Span ms(std::int64_t x) { return {x * 1000}; }
-constexpr ServerIndex kServers = 8;  // four readers, three writers, one that does both
+constexpr ServerIndex kServers = 8;  // four prefill servers, three decode servers, one mixed server
 constexpr std::uint16_t kKinds[kServers] = {0, 0, 0, 0, 1, 1, 1, 2};
 
-// Terms of one shape, and of another: load reports, probes and notes of peers.
+// Two variants of the terms: plain, and with load reports, probes and notes between peers.
 const char* const kPlain = "(allow (cancel yes) (second-copies yes))";
-const char* const kTold =
+const char* const kReporting =
     R"((allow (cancel yes) (second-copies yes) (probes yes) (peers yes) (writers-read yes))
   (peer "h" (at "127.0.0.1:9")) (reports (how inline) (memory yes) (unread yes)))";
 
@@ -38,159 +38,168 @@
   (rules (drain-grace 250ms) (start-capacity 0.3) (tip-multiple 2.5) (fall 3s) (warm-within 14s) (release-within 1s)
     (most-launches 5)))";
 
-// Most values are such that a file is accepted; one in many is not, alone or with the others.
-std::string drawn_route(int n) {
+// Most values are acceptable; about one in sixty is not, alone or in combination.
+std::string random_route(int n) {
     const std::string category = *rc::gen::element<std::string>("pure", "pure", "receipt", "once");
     std::string out = "(route \"r" + std::to_string(n) + "\" (category \"" + category + "\") (prompt-from " +
                       std::to_string(n * 100) + ")";
-    const auto maybe = [&](const std::string& key, const std::vector<std::string>& good,
-                           const std::string& bad) {
+    const auto maybe_add = [&](const std::string& key, const std::vector<std::string>& good,
+                               const std::string& bad) {
         if (*rc::gen::inRange(0, 3) != 0) return;
         out += " (" + key + " " + (*rc::gen::inRange(0, 60) == 0 ? bad : *rc::gen::elementOf(good)) + ")";
     };
-    maybe("connect", {"10ms", "40ms"}, "2s");
-    maybe("read", {"100ms", "500ms"}, "3s");
-    maybe("hand-over", {"50ms", "400ms"}, "2s");
-    maybe("first-token", {"100ms", "900ms"}, "3s");
-    maybe("gap", {"50ms", "1s"}, "0");
-    maybe("whole", {"1s", "5s"}, "10ms");
-    maybe("most-launches", {"2", "3", "5"}, "9");
-    maybe("after-unreachable", {"0", "1", "3"}, "-1");
-    maybe("after-full", {"0", "1", "3"}, "x");
+    maybe_add("connect", {"10ms", "40ms"}, "2s");
+    maybe_add("read", {"100ms", "500ms"}, "3s");
+    maybe_add("hand-over", {"50ms", "400ms"}, "2s");
+    maybe_add("first-token", {"100ms", "900ms"}, "3s");
+    maybe_add("gap", {"50ms", "1s"}, "0");
+    maybe_add("whole", {"1s", "5s"}, "10ms");
+    maybe_add("most-launches", {"2", "3", "5"}, "9");
+    maybe_add("after-unreachable", {"0", "1", "3"}, "-1");
+    maybe_add("after-full", {"0", "1", "3"}, "x");
     if (category != "once") {
-        maybe("after-failed", {"0", "1", "3"}, "1.5");
-        maybe("after-silent", {"0", "1", "3"}, "99");
+        maybe_add("after-failed", {"0", "1", "3"}, "1.5");
+        maybe_add("after-silent", {"0", "1", "3"}, "99");
     }
-    maybe("retry-share", {"0", "0.2", "1"}, "11");
-    maybe("rate", {"5", "50"}, "0");
-    maybe("in-hand", {"1", "4", "20"}, "0");
-    maybe("held", {"1", "10"}, "0");
-    maybe("adapts", {"yes"}, "maybe");
+    maybe_add("retry-share", {"0", "0.2", "1"}, "11");
+    maybe_add("rate", {"5", "50"}, "0");
+    maybe_add("in-hand", {"1", "4", "20"}, "0");
+    maybe_add("held", {"1", "10"}, "0");
+    maybe_add("adapts", {"yes"}, "maybe");
     if (category != "pure") {
         out += " (second-copies no)";
     } else {
-        maybe("second-copies", {"yes"}, "always");
-        maybe("second-after", {"20ms", "200ms"}, "4s");
-        maybe("second-share", {"0.1", "1"}, "2");
+        maybe_add("second-copies", {"yes"}, "always");
+        maybe_add("second-after", {"20ms", "200ms"}, "4s");
+        maybe_add("second-share", {"0.1", "1"}, "2");
     }
     return out + ")";
 }
 
-struct World : Outside {
-    struct Out {
-        ServerIndex at;
-        QueryIndex query;
-        bool reading, called_off = false;
+struct SimulatedHost : Outside {
+    struct InFlight {
+        ServerIndex server;
+        QueryIndex request;
+        bool is_prefill, cancelled = false;
         AttemptId state;
     };
-    struct State {
-        ServerIndex at;
-        std::uint64_t asked;  // the query's number
-        Instant free_since;
+    struct HeldState {
+        ServerIndex server;
+        std::uint64_t request_number;  // index in requests
+        Instant idle_since;
     };
-    struct Asked {
-        Instant came;
+    struct IssuedRequest {
+        Instant arrived_at;
         Span budget;
         Effect effect = Effect::pure;
-        int answers = 0, out = 0;
-        bool begun = false, left = false, over = false, may_have_run = false;
+        int answers = 0, in_flight = 0;
+        bool streaming = false, client_left = false, ended = false, may_have_run = false;
     };
 
     Instant clock{1'000'000'000'000};
-    Instant wish{INT64_MAX};
-    std::map<AttemptId, Out> out;
-    std::map<std::pair<ServerIndex, AttemptId>, State> states;
-    std::map<QueryIndex, std::uint64_t> number;
-    std::vector<Asked> asked;
-    std::set<ServerIndex> barred;
-    std::string broken;
-    std::vector<ServerIndex> asked_of;  // probes that nothing has come back of
+    Instant next_wakeup{INT64_MAX};
+    std::map<AttemptId, InFlight> attempts;
+    std::map<std::pair<ServerIndex, AttemptId>, HeldState> states;
+    std::map<QueryIndex, std::uint64_t> request_numbers;
+    std::vector<IssuedRequest> requests;
+    std::set<ServerIndex> draining_servers;
+    std::string violation;
+    std::vector<ServerIndex> pending_probes;  // probes that have not been answered
     std::vector<std::string> notes;
     std::uint64_t probes = 0;
 
-    void wrong(const std::string& what) {
-        if (broken.empty()) broken = what;
+    void record_violation(const std::string& what) {
+        if (violation.empty()) violation = what;
     }
-    Asked& of(QueryIndex q) { return asked[number.at(q)]; }
+    IssuedRequest& of(QueryIndex request) { return requests[request_numbers.at(request)]; }
 
     Instant now() const override { return clock; }
-    void wake_at(Instant at) override { wish = at; }
-    void sent(AttemptId l, ServerIndex to, QueryIndex q, bool reading, AttemptId state) {
-        Asked& a = of(q);
-        if (a.over) wrong("a launch for a query that is over");
-        if (barred.count(to)) wrong("a launch to a draining server");
-        if (a.effect != Effect::pure && a.out > 0) wrong("two launches out of a query that is not pure");
-        if (!reading && a.effect == Effect::effectful && a.may_have_run)
-            wrong("an effectful query sent again");
-        ++a.out;
-        out[l] = {to, q, reading, false, state};
+    void wake_at(Instant at) override { next_wakeup = at; }
+    void record_attempt(AttemptId attempt, ServerIndex to, QueryIndex request, bool is_prefill,
+                        AttemptId state) {
+        IssuedRequest& issued = of(request);
+        if (issued.ended) record_violation("an attempt for a request that has ended");
+        if (draining_servers.count(to)) record_violation("an attempt on a draining server");
+        if (issued.effect != Effect::pure && issued.in_flight > 0)
+            record_violation("two attempts in flight for a request that is not pure");
+        if (!is_prefill && issued.effect == Effect::effectful && issued.may_have_run)
+            record_violation("an effectful request was sent again");
+        ++issued.in_flight;
+        attempts[attempt] = {to, request, is_prefill, false, state};
     }
-    void send_read(AttemptId l, ServerIndex to, QueryIndex q, Span) override { sent(l, to, q, true, 0); }
-    void send_write(AttemptId l, ServerIndex to, QueryIndex q, AttemptId state, ServerIndex, Span) override {
-        sent(l, to, q, false, state);
+    void send_read(AttemptId attempt, ServerIndex to, QueryIndex request, Span) override {
+        record_attempt(attempt, to, request, true, 0);
     }
-    void call_off(AttemptId l, ServerIndex) override {
-        const auto it = out.find(l);
-        if (it == out.end() || it->second.called_off) return wrong("called off what is not out");
-        it->second.called_off = true;
-        ended(l, !it->second.reading);
+    void send_write(AttemptId attempt, ServerIndex to, QueryIndex request, AttemptId state, ServerIndex,
+                    Span) override {
+        record_attempt(attempt, to, request, false, state);
     }
-    // Every third still waited for its connection, so it has not run.
-    bool unsend(AttemptId l, ServerIndex) override {
-        const auto it = out.find(l);
-        if (it == out.end() || it->second.called_off || l % 3 != 0) return false;
-        ended(l, false);
-        out.erase(it);
+    void call_off(AttemptId attempt, ServerIndex) override {
+        const auto it = attempts.find(attempt);
+        if (it == attempts.end() || it->second.cancelled)
+            return record_violation("cancelled an attempt that is not in flight");
+        it->second.cancelled = true;
+        attempt_finished(attempt, !it->second.is_prefill);
+    }
+    // Every third attempt still waits for its connection, so it has not run.
+    bool unsend(AttemptId attempt, ServerIndex) override {
+        const auto it = attempts.find(attempt);
+        if (it == attempts.end() || it->second.cancelled || attempt % 3 != 0) return false;
+        attempt_finished(attempt, false);
+        attempts.erase(it);
         return true;
     }
-    // The gateway waits for it no longer.
-    void ended(AttemptId l, bool may_have_run) {
-        Asked& a = of(out.at(l).query);
-        --a.out;
-        a.may_have_run |= may_have_run;
-        const std::uint64_t n = number.at(out.at(l).query);
-        if (a.out == 0)
+    // The gateway no longer waits for this attempt.
+    void attempt_finished(AttemptId attempt, bool may_have_run) {
+        IssuedRequest& issued = of(attempts.at(attempt).request);
+        --issued.in_flight;
+        issued.may_have_run |= may_have_run;
+        const std::uint64_t n = request_numbers.at(attempts.at(attempt).request);
+        if (issued.in_flight == 0)
             for (auto& [key, s] : states)
-                if (s.asked == n) s.free_since = clock;
+                if (s.request_number == n) s.idle_since = clock;
     }
     void release(ServerIndex at, AttemptId state) override { states.erase({at, state}); }
     void probe(ServerIndex server) override {
         ++probes;
-        asked_of.push_back(server);
+        pending_probes.push_back(server);
     }
     void tell_peers(std::string_view note) override { notes.emplace_back(note); }
     void subscribe() override {}
-    void answered(QueryIndex q, bool declined) {
-        Asked& a = of(q);
-        if (++a.answers > 1 || a.left) wrong("a second final answer, or one after the query left");
-        if (declined && a.effect == Effect::effectful && (a.may_have_run || a.out > 0))
-            wrong("declined what may have run, or is still out");
-        if (!a.begun && clock > a.came + a.budget) wrong("a final answer after the hard stop");
-        a.over = true;
+    void final_answer(QueryIndex request, bool declined) {
+        IssuedRequest& issued = of(request);
+        if (++issued.answers > 1 || issued.client_left)
+            record_violation("a second final answer, or one after the client left");
+        if (declined && issued.effect == Effect::effectful && (issued.may_have_run || issued.in_flight > 0))
+            record_violation("rejected a request that may have run or has an attempt in flight");
+        if (!issued.streaming && clock > issued.arrived_at + issued.budget)
+            record_violation("a final answer after the deadline");
+        issued.ended = true;
     }
-    void settled(QueryIndex q) override { answered(q, false); }
-    void declined(QueryIndex q, Span, std::string_view) override { answered(q, true); }
-    void given_up(QueryIndex q, std::string_view) override { answered(q, false); }
-    void closed(QueryIndex q) override {
-        if (of(q).out > 0) wrong("closed with launches out");
-        number.erase(q);
+    void settled(QueryIndex request) override { final_answer(request, false); }
+    void declined(QueryIndex request, Span, std::string_view) override { final_answer(request, true); }
+    void given_up(QueryIndex request, std::string_view) override { final_answer(request, false); }
+    void closed(QueryIndex request) override {
+        if (of(request).in_flight > 0) record_violation("closed with attempts in flight");
+        request_numbers.erase(request);
     }
     void log(std::string_view) override {}
 
-    void look_at_pins() {
+    void check_held_states() {
         for (const auto& [key, s] : states)
-            if (asked[s.asked].out == 0 && clock - s.free_since > ms(1000)) wrong("a state lay pinned");
+            if (requests[s.request_number].in_flight == 0 && clock - s.idle_since > ms(1000))
+                record_violation("a state stayed held after its release was due");
     }
 };
 
-struct Play {
-    World world;
-    GatewayTerms terms, others;
-    bool watches = false;
+struct RandomRun {
+    SimulatedHost host;
+    GatewayTerms terms, shadow_terms;
+    bool evaluates_shadow_terms = false;
     std::unique_ptr<Desk> desk;
-    std::minstd_rand chance;
+    std::minstd_rand rng;
 
-    double draw() { return std::uniform_real_distribution<double>(0, 1)(chance); }
+    double uniform() { return std::uniform_real_distribution<double>(0, 1)(rng); }
 
     std::vector<RouteLimits> limits() const {
         std::vector<RouteLimits> out;
@@ -198,9 +207,9 @@
         return out;
     }
     void start() {
-        desk = std::make_unique<Desk>(terms.core, world, 5);
+        desk = std::make_unique<Desk>(terms.core, host, 5);
         desk->terms_changed(terms.core, limits());
-        if (watches) desk->watch(&others.core, 5);
+        if (evaluates_shadow_terms) desk->watch(&shadow_terms.core, 5);
         std::vector<Listing> list(kServers);
         for (ServerIndex s = 0; s < kServers; ++s) {
             list[s].server = s;
@@ -209,134 +218,137 @@
         }
         desk->list_arrived(list, true);
     }
-    void ask() {
+    void send_request() {
         Arrival a;
-        a.category = static_cast<std::uint16_t>(draw() * 3);
-        a.prompt_tokens = std::floor(draw() * 600);
+        a.category = static_cast<std::uint16_t>(uniform() * 3);
+        a.prompt_tokens = std::floor(uniform() * 600);
         a.most_tokens = 50;
-        a.session = static_cast<std::uint64_t>(draw() * 5);
-        a.budget = ms(200 + static_cast<std::int64_t>(draw() * 1800));
+        a.session = static_cast<std::uint64_t>(uniform() * 5);
+        a.budget = ms(200 + static_cast<std::int64_t>(uniform() * 1800));
         RouteQuery wanted;
         wanted.category = a.category;
         wanted.listener = 0;
         wanted.prompt_tokens = a.prompt_tokens;
-        const std::uint32_t place = terms.table.find(wanted);
-        const QueryIndex q = desk->open();
-        World::Asked asked;
-        asked.came = world.clock;
-        asked.budget = a.budget;
-        asked.effect = terms.core.categories[a.category].effect;
-        world.number[q] = world.asked.size();
-        world.asked.push_back(asked);
-        desk->query_came(q, a, place, terms.routes[place].limits);
+        const std::uint32_t route_index = terms.table.find(wanted);
+        const QueryIndex request = desk->open();
+        SimulatedHost::IssuedRequest issued;
+        issued.arrived_at = host.clock;
+        issued.budget = a.budget;
+        issued.effect = terms.core.categories[a.category].effect;
+        host.request_numbers[request] = host.requests.size();
+        host.requests.push_back(issued);
+        desk->query_came(request, a, route_index, terms.routes[route_index].limits);
     }
-    LoadReport report() { return {draw() < 0.8 ? draw() : -1, draw() < 0.5 ? 0 : draw() * 5}; }
-    // What comes of a probe, or of a note that is told again, changed or made up.
-    void hear() {
-        if (!world.asked_of.empty()) {
-            const ServerIndex s = world.asked_of.back();
-            world.asked_of.pop_back();
-            if (draw() < 0.8) desk->probe_answered(s, draw() < 0.8, report());
+    LoadReport report() { return {uniform() < 0.8 ? uniform() : -1, uniform() < 0.5 ? 0 : uniform() * 5}; }
+    // Answers a probe, and delivers a note that is repeated, altered or made up.
+    void receive_probe_or_note() {
+        if (!host.pending_probes.empty()) {
+            const ServerIndex s = host.pending_probes.back();
+            host.pending_probes.pop_back();
+            if (uniform() < 0.8) desk->probe_answered(s, uniform() < 0.8, report());
         }
-        std::string note = world.notes.empty() ? "u000010" : world.notes.back();
-        if (draw() < 0.5)
-            note[static_cast<std::size_t>(draw() * 0.999 * static_cast<double>(note.size()))] =
-                "uawz0f9"[static_cast<int>(draw() * 7)];
+        std::string note = host.notes.empty() ? "u000010" : host.notes.back();
+        if (uniform() < 0.5)
+            note[static_cast<std::size_t>(uniform() * 0.999 * static_cast<double>(note.size()))] =
+                "uawz0f9"[static_cast<int>(uniform() * 7)];
         desk->peer_told(note);
     }
-    // Something comes back of one attempt, or is lost for ever.
-    void answer(AttemptId id) {
-        World::Out& o = world.out.at(id);
-        const std::uint64_t n = world.number.count(o.query) ? world.number.at(o.query) : 0;
-        const bool off = o.called_off;
-        const double u = draw();
+    // Answers one attempt, or loses it.
+    void answer_attempt(AttemptId id) {
+        SimulatedHost::InFlight& o = host.attempts.at(id);
+        const std::uint64_t n =
+            host.request_numbers.count(o.request) ? host.request_numbers.at(o.request) : 0;
+        const bool was_cancelled = o.cancelled;
+        const double choice = uniform();
         Outcome outcome;
         outcome.report = report();
-        if (o.reading) {
-            outcome.ending = u < 0.7   ? Ending::read
-                             : u < 0.8 ? Ending::full
-                             : u < 0.9 ? Ending::broken
-                                       : Ending::error;
-            // The state may lie there whatever the answer came to, but not where a cancel came first.
-            if (!off && (u < 0.7 || (u >= 0.8 && u < 0.85)))
-                world.states[{o.at, id}] = {o.at, n, world.clock};
-        } else if (u < 0.5 && !off) {
-            QueryIndex q = 0;
-            if (desk->token_came(id, q)) {
-                world.states.erase({state_at(o.state), o.state});
-                World::Asked& a = world.of(q);
-                if (a.over) world.wrong("a token after the final answer");
-                if (!a.begun && world.clock > a.came + a.budget)
-                    world.wrong("a first token after the hard stop");
-                a.begun = true;
+        if (o.is_prefill) {
+            outcome.ending = choice < 0.7   ? Ending::read
+                             : choice < 0.8 ? Ending::full
+                             : choice < 0.9 ? Ending::broken
+                                            : Ending::error;
+            // The server may hold the state whatever it answered, unless a cancel arrived first.
+            if (!was_cancelled && (choice < 0.7 || (choice >= 0.8 && choice < 0.85)))
+                host.states[{o.server, id}] = {o.server, n, host.clock};
+        } else if (choice < 0.5 && !was_cancelled) {
+            QueryIndex request = 0;
+            if (desk->token_came(id, request)) {
+                host.states.erase({state_at(o.state), o.state});
+                SimulatedHost::IssuedRequest& issued = host.of(request);
+                if (issued.ended) host.record_violation("a token after the final answer");
+                if (!issued.streaming && host.clock > issued.arrived_at + issued.budget)
+                    host.record_violation("a first token after the deadline");
+                issued.streaming = true;
             }
-            if (!world.out.count(id) || world.out.at(id).called_off || draw() < 0.5) return;
+            if (!host.attempts.count(id) || host.attempts.at(id).cancelled || uniform() < 0.5) return;
             outcome.ending = Ending::settled;
         } else {
-            outcome.ending = u < 0.6    ? Ending::full
-                             : u < 0.7  ? Ending::unreachable
-                             : u < 0.85 ? Ending::broken
-                                        : Ending::error;
-            outcome.no_state = u >= 0.55 && u < 0.6;
+            outcome.ending = choice < 0.6    ? Ending::full
+                             : choice < 0.7  ? Ending::unreachable
+                             : choice < 0.85 ? Ending::broken
+                                             : Ending::error;
+            outcome.no_state = choice >= 0.55 && choice < 0.6;
         }
-        if (!off) {
+        if (!was_cancelled) {
             const bool ran =
-                !o.reading && outcome.ending != Ending::full && outcome.ending != Ending::unreachable;
-            world.ended(id, ran);
+                !o.is_prefill && outcome.ending != Ending::full && outcome.ending != Ending::unreachable;
+            host.attempt_finished(id, ran);
         }
-        world.out.erase(id);
+        host.attempts.erase(id);
         desk->attempt_ended(id, outcome);
     }
     ServerIndex state_at(AttemptId state) const {
-        for (const auto& [key, s] : world.states)
+        for (const auto& [key, s] : host.states)
             if (key.second == state) return key.first;
         return 0;
     }
-    void pass(Span span) {
-        const Instant until = world.clock + span;
-        while (world.wish <= until) {
-            world.clock = std::max(world.clock, world.wish);
-            world.wish = {INT64_MAX};
+    void advance(Span span) {
+        const Instant until = host.clock + span;
+        while (host.next_wakeup <= until) {
+            host.clock = std::max(host.clock, host.next_wakeup);
+            host.next_wakeup = {INT64_MAX};
             desk->time_came();
-            world.look_at_pins();
+            host.check_held_states();
         }
-        world.clock = until;
-        world.look_at_pins();
+        host.clock = until;
+        host.check_held_states();
     }
     void step() {
-        const double u = draw();
-        if (u < 0.25) {
-            ask();
-        } else if (u < 0.7 && !world.out.empty()) {
-            auto it = world.out.begin();
-            std::advance(it, static_cast<std::ptrdiff_t>(draw() * static_cast<double>(world.out.size())));
-            answer(it->first);
-        } else if (u < 0.74 && !world.number.empty()) {
-            auto it = world.number.begin();
-            std::advance(it, static_cast<std::ptrdiff_t>(draw() * static_cast<double>(world.number.size())));
-            World::Asked& a = world.asked[it->second];
-            if (!a.over) {
-                a.left = a.over = true;
+        const double choice = uniform();
+        if (choice < 0.25) {
+            send_request();
+        } else if (choice < 0.7 && !host.attempts.empty()) {
+            auto it = host.attempts.begin();
+            std::advance(it,
+                         static_cast<std::ptrdiff_t>(uniform() * static_cast<double>(host.attempts.size())));
+            answer_attempt(it->first);
+        } else if (choice < 0.74 && !host.request_numbers.empty()) {
+            auto it = host.request_numbers.begin();
+            std::advance(it, static_cast<std::ptrdiff_t>(uniform() *
+                                                         static_cast<double>(host.request_numbers.size())));
+            SimulatedHost::IssuedRequest& issued = host.requests[it->second];
+            if (!issued.ended) {
+                issued.client_left = issued.ended = true;
                 desk->query_left(it->first);
             }
-        } else if (u < 0.76) {
+        } else if (choice < 0.76) {
             Listing l;
-            l.server = static_cast<ServerIndex>(draw() * kServers);
+            l.server = static_cast<ServerIndex>(uniform() * kServers);
             l.kind = kKinds[l.server];
             l.mark = l.server + 1;
-            const bool drains = draw() < 0.5 && world.barred.size() < 3;
+            const bool drains = uniform() < 0.5 && host.draining_servers.size() < 3;
             l.standing = drains ? Standing::draining : Standing::ready;
             if (drains)
-                world.barred.insert(l.server);
+                host.draining_servers.insert(l.server);
             else
-                world.barred.erase(l.server);
+                host.draining_servers.erase(l.server);
             desk->list_arrived({{l}}, false);
-        } else if (u < 0.765) {
+        } else if (choice < 0.765) {
             desk->terms_changed(terms.core, limits());
-        } else if (u < 0.8) {
-            hear();
+        } else if (choice < 0.8) {
+            receive_probe_or_note();
         } else {
-            pass(ms(static_cast<std::int64_t>(draw() * draw() * 120)));
+            advance(ms(static_cast<std::int64_t>(uniform() * uniform() * 120)));
         }
     }
 };
@@ -344,53 +356,58 @@
 }  // namespace
 
 int main() {
-    int played = 0, refused = 0;
-    std::uint64_t copies = 0, queries = 0, not_again = 0, over_limit = 0, probes = 0, compared = 0;
-    const bool well = rc::check("accepted files keep the rules", [&] {
-        std::string text;
+    int runs = 0, rejected_files = 0;
+    std::uint64_t hedges = 0, requests = 0, retries_denied = 0, over_limit = 0, probes = 0, compared = 0;
+    const bool passed = rc::check("accepted files keep the rules", [&] {
+        std::string routes_text;
         if (*rc::gen::arbitrary<bool>())
-            text += R"((route "default" (second-copies yes) (second-share 1) (second-after 30ms)))";
+            routes_text += R"((route "default" (second-copies yes) (second-share 1) (second-after 30ms)))";
         const int routes = *rc::gen::inRange(0, 5);
-        for (int n = 0; n < routes; ++n) text += drawn_route(n);
-        Play play;
+        for (int n = 0; n < routes; ++n) routes_text += random_route(n);
+        RandomRun run;
         std::vector<Fault> faults;
         Overrides o;
         o.peer_listen = "127.0.0.1:8";
-        const bool told = *rc::gen::arbitrary<bool>();
-        play.watches = *rc::gen::arbitrary<bool>();
-        const auto whole = [&](bool of) { return kBase + std::string(of ? kTold : kPlain) + text + ")"; };
-        if (!read_terms(whole(told), o, play.terms, faults) ||
-            !read_terms(whole(!told), o, play.others, faults)) {
-            ++refused;
+        const bool with_reports = *rc::gen::arbitrary<bool>();
+        run.evaluates_shadow_terms = *rc::gen::arbitrary<bool>();
+        const auto full_text = [&](bool reporting) {
+            return kBase + std::string(reporting ? kReporting : kPlain) + routes_text + ")";
+        };
+        if (!read_terms(full_text(with_reports), o, run.terms, faults) ||
+            !read_terms(full_text(!with_reports), o, run.shadow_terms, faults)) {
+            ++rejected_files;
             return;
         }
-        ++played;
-        play.chance.seed(static_cast<std::uint32_t>(*rc::gen::inRange(1, 1 << 30)));
-        play.start();
-        for (int n = 0; n < 400 && play.world.broken.empty(); ++n) play.step();
-        // Then nothing comes back any more: all ends by itself.
-        play.pass(ms(12000));
-        const Tally& t = play.desk->tally();
-        copies += t.copies;
-        queries += t.came;
-        not_again += t.not_again;
+        ++runs;
+        run.rng.seed(static_cast<std::uint32_t>(*rc::gen::inRange(1, 1 << 30)));
+        run.start();
+        for (int n = 0; n < 400 && run.host.violation.empty(); ++n) run.step();
+        // No more answers arrive: every request must end by itself.
+        run.advance(ms(12000));
+        const Tally& t = run.desk->tally();
+        hedges += t.copies;
+        requests += t.came;
+        retries_denied += t.not_again;
         over_limit += t.over_limit;
-        probes += play.world.probes;
-        if (const Watching* w = play.desk->watching()) {
+        probes += run.host.probes;
+        if (const Watching* w = run.desk->watching()) {
             const Differences& d = w->differences();
             compared += d.alike + d.reader + d.writer + d.held;
         }
-        if (!play.world.broken.empty()) RC_FAIL(play.world.broken + "\n" + whole(told));
-        RC_ASSERT(play.desk->open_queries() == 0);
-        RC_ASSERT(play.desk->attempts_out() == 0);
-        RC_ASSERT(play.world.states.empty());
-        for (const World::Asked& a : play.world.asked) RC_ASSERT(a.answers == (a.left ? 0 : 1));
+        if (!run.host.violation.empty()) RC_FAIL(run.host.violation + "\n" + full_text(with_reports));
+        RC_ASSERT(run.desk->open_queries() == 0);
+        RC_ASSERT(run.desk->attempts_out() == 0);
+        RC_ASSERT(run.host.states.empty());
+        for (const SimulatedHost::IssuedRequest& issued : run.host.requests)
+            RC_ASSERT(issued.answers == (issued.client_left ? 0 : 1));
     });
     std::printf(
-        "%d files played, %d refused; %llu queries, %llu copies, %llu over a limit, %llu launches not left\n",
-        played, refused, static_cast<unsigned long long>(queries), static_cast<unsigned long long>(copies),
-        static_cast<unsigned long long>(over_limit), static_cast<unsigned long long>(not_again));
+        "%d terms files played, %d rejected; %llu requests, %llu hedges, %llu over a limit, %llu retries "
+        "denied\n",
+        runs, rejected_files, static_cast<unsigned long long>(requests),
+        static_cast<unsigned long long>(hedges), static_cast<unsigned long long>(over_limit),
+        static_cast<unsigned long long>(retries_denied));
     std::fflush(stdout);
-    assert(well);
-    assert(played > 10 && copies > 0 && over_limit > 0 && not_again > 0 && probes > 0 && compared > 0);
+    assert(passed);
+    assert(runs > 10 && hedges > 0 && over_limit > 0 && retries_denied > 0 && probes > 0 && compared > 0);
 }
