--- a/src/http/forwarding.h
+++ b/src/http/forwarding.h
@@ -1,4 +1,4 @@
-// Which header fields an intermediary passes on (RFC 9110, section 7.6.1). Free of I/O.
+// Selects the header fields that an intermediary forwards (RFC 9110, section 7.6.1). No I/O.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace copperfront::http {
 
-// Whether the field concerns only the connection it came on: the standard's own, and those that `Connection`
-// names.
+// Returns whether the field concerns only the connection it was received on: the fields of the standard, and
+// those that `Connection` names.
 bool is_hop_by_hop(const Head& head, std::string_view name);
 
-// Whether the field frames or addresses the message, so that whoever sends the message on writes it anew.
+// Returns whether the field frames or addresses the message, so that the forwarder writes its own.
 bool is_rewritten(std::string_view name);
 
-// All other fields as header lines, each with its line end, in the order in which they came. `except` is left
-// out as well, in any case of its letters.
+// Returns all other fields as header lines, each with its line end, in the order received. Also omits the
+// field `except`, ignoring case.
 std::string end_to_end_fields(const Head& head, std::string_view except);
 
 }  // namespace copperfront::http
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,6 +1,6 @@
-// One HTTP/1.1 message, read as its bytes come, with hard bounds. Stricter than the standard asks wherever
-// two readers could take a message differently: such a message is bad, and so is all that follows it on its
-// connection. Built on Boost.Beast's parser. Free of I/O.
+// Incremental parser for one HTTP/1.1 message, with fixed limits. It is stricter than the standard wherever
+// two recipients could interpret a message differently: such a message is malformed, and everything after it
+// on its connection is unusable. Built on Boost.Beast's parser. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,65 +16,66 @@
 
 struct Bounds {
     std::size_t head_bytes = 8192;
-    std::uint64_t body_bytes = 256 * 1024;  // of all its chunks together, too
+    std::uint64_t body_bytes = 256 * 1024;  // total of all chunks if chunked
 };
 
 enum class Trouble { none, bad, head_too_long, body_too_long };
 
 struct Head {
-    std::string method, target;  // of a call
-    int status = 0;              // of an answer
+    std::string method, target;  // of a request
+    int status = 0;              // of a response
     bool keeps_open = true, chunked = false;
     bool has_length = false;
     std::uint64_t length = 0;
     std::vector<std::pair<std::string, std::string>> fields;
 
-    // By its name in any case; null: it is not there.
+    // Finds a field by its name, ignoring case. Returns null if it is absent.
     const std::string* find(std::string_view name) const;
     std::size_t count(std::string_view name) const;
 };
 
-bool alike(std::string_view a, std::string_view b);  // but for the case of letters
+// Compares ASCII text, ignoring case.
+bool equals_ignoring_case(std::string_view a, std::string_view b);
 
 enum class Sort { call, answer };
 
 class Message {
   public:
-    // A piece of the body; the view is gone after the call.
+    // Receives a piece of the body; the view is valid only during the call.
     using Body = std::function<void(std::string_view)>;
-    Message(Sort sort, const Bounds& bounds, Body body);
+    Message(Sort kind, const Bounds& bounds, Body body);
     ~Message();
     Message(const Message&) = delete;
     Message& operator=(const Message&) = delete;
 
-    // Takes what is part of this message; returns how many bytes it took. Once it is done or in trouble it
-    // takes no more.
+    // Consumes the bytes that belong to this message and returns their number. Consumes nothing once the
+    // message is complete or malformed.
     std::size_t take(std::string_view bytes);
-    // The peer has ended: true where that makes a whole message of it.
+    // Call when the peer has closed its side. Returns whether that completes the message.
     bool ended();
 
     bool began() const;
     bool head_done() const;
     bool done() const;
-    Trouble trouble() const { return trouble_; }
-    const std::string& what() const { return what_; }  // is wrong, in plain words
+    Trouble trouble() const { return error_; }
+    const std::string& what() const { return error_text_; }  // description of the error
     const Head& head() const { return head_; }
 
   private:
     class Parser;
-    std::size_t take_head(std::string_view bytes);
-    void fail(Trouble trouble, std::string what);
-    bool head_is_well();
-    bool size_line_may_be_one() const;
+    std::size_t parse_head(std::string_view bytes);
+    void fail(Trouble error, std::string error_text);
+    bool validate_head();
+    bool is_plausible_size_line() const;
     void feed();
 
-    const Sort sort_;
+    const Sort kind_;
     const Bounds bounds_;
     const Body body_;
     Head head_;
-    Trouble trouble_ = Trouble::none;
-    std::string what_;
-    std::string held_;  // bytes that make no whole element yet: a part of the head, or of a chunk's size line
+    Trouble error_ = Trouble::none;
+    std::string error_text_;
+    std::string buffer_;  // bytes of an incomplete element: the head, or a chunk's size line
     std::unique_ptr<Parser> parser_;
 };
 
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -13,8 +13,8 @@
 namespace copperfront {
 namespace {
 
-spdlog::level::level_enum level_of(Weight weight) {
-    switch (weight) {
+spdlog::level::level_enum level_of(Weight severity) {
+    switch (severity) {
         case Weight::trace:
             return spdlog::level::trace;
         case Weight::debug:
@@ -29,24 +29,24 @@
     return spdlog::level::info;
 }
 
-// The wall clock as it was at the first line, carried on by the monotonic one: lines stay in order where the
+// Returns the wall clock of the first line, advanced by the monotonic clock: lines stay in order when the
 // wall clock is stepped.
-spdlog::log_clock::time_point time_now() {
+spdlog::log_clock::time_point monotonic_wall_time() {
     static const auto wall_at_start = spdlog::log_clock::now();
-    static const auto steady_at_start = std::chrono::steady_clock::now();
-    const auto passed = std::chrono::steady_clock::now() - steady_at_start;
-    return wall_at_start + std::chrono::duration_cast<spdlog::log_clock::duration>(passed);
+    static const auto monotonic_at_start = std::chrono::steady_clock::now();
+    const auto elapsed = std::chrono::steady_clock::now() - monotonic_at_start;
+    return wall_at_start + std::chrono::duration_cast<spdlog::log_clock::duration>(elapsed);
 }
 
-std::string json_text(std::string_view text) {
+std::string to_json_string(std::string_view text) {
     return nlohmann::json(std::string(text)).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 }  // namespace
 
-Log::Log(const std::string& level, const std::string& form, const std::string& file, std::size_t file_bytes,
+Log::Log(const std::string& level, const std::string& format, const std::string& file, std::size_t file_bytes,
          std::size_t files)
-    : json_(form != "text") {
+    : json_(format != "text") {
     try {
         spdlog::sink_ptr sink;
         if (file.empty()) {
@@ -56,8 +56,8 @@
             sink = std::make_shared<spdlog::sinks::rotating_file_sink_st>(file, file_bytes, files);
         }
         logger_ = std::make_shared<spdlog::logger>("copperfront", sink);
-    } catch (const spdlog::spdlog_ex& trouble) {
-        throw std::runtime_error("the log cannot be written: " + std::string(trouble.what()));
+    } catch (const spdlog::spdlog_ex& error) {
+        throw std::runtime_error("cannot write the log: " + std::string(error.what()));
     }
     logger_->set_pattern(json_ ? "{\"time\":\"%Y-%m-%dT%H:%M:%S.%e%z\",\"level\":\"%l\",%v}"
                                : "%H:%M:%S.%e %^%-5l%$ %v");
@@ -67,42 +67,47 @@
 
 Log::~Log() { logger_->flush(); }
 
-bool Log::writes(Weight weight) const { return logger_->should_log(level_of(weight)); }
+bool Log::writes(Weight severity) const { return logger_->should_log(level_of(severity)); }
 
 void Log::set_level(const std::string& level) { logger_->set_level(spdlog::level::from_str(level)); }
 
 void Log::flush() { logger_->flush(); }
 
-void Log::say(Weight weight, std::string_view package, std::string_view what,
+void Log::say(Weight severity, std::string_view component, std::string_view message,
               std::initializer_list<Field> fields) {
-    if (!writes(weight)) return;
-    tell_lines_left_out();
-    write(weight, package, what, fields);
+    if (!writes(severity)) return;
+    report_dropped_lines();
+    write_record(severity, component, message, fields);
 }
 
-void Log::tell_lines_left_out() {
-    const std::uint64_t left_out = standard_error_ ? standard_error_->left_out() : 0;
-    if (left_out == told_left_out_ || !standard_error_->takes_bytes()) return;
-    write(Weight::warn, "log", "log lines could not be written",
-          {{"lines", static_cast<std::int64_t>(left_out - told_left_out_)}});
-    told_left_out_ = left_out;
+void Log::report_dropped_lines() {
+    const std::uint64_t dropped_lines = standard_error_ ? standard_error_->dropped_lines() : 0;
+    if (dropped_lines == reported_dropped_lines_ || !standard_error_->is_writable()) return;
+    write_record(Weight::warn, "log", "log lines could not be written",
+                 {{"lines", static_cast<std::int64_t>(dropped_lines - reported_dropped_lines_)}});
+    reported_dropped_lines_ = dropped_lines;
 }
 
-void Log::write(Weight weight, std::string_view package, std::string_view what,
-                std::initializer_list<Field> fields) {
-    std::string line = json_ ? "\"package\":" + json_text(package) + ",\"what\":" + json_text(what)
-                             : std::string(package) + ": " + std::string(what);
+void Log::write_record(Weight severity, std::string_view component, std::string_view message,
+                       std::initializer_list<Field> fields) {
+    std::string line =
+        json_ ? "\"package\":" + to_json_string(component) + ",\"what\":" + to_json_string(message)
+              : std::string(component) + ": " + std::string(message);
     for (const auto& [name, value] : fields) {
-        std::string held;
+        std::string value_text;
         if (const auto* text = std::get_if<std::string>(&value))
-            held = json_ || text->find(' ') != std::string::npos || text->empty() ? json_text(*text) : *text;
-        else if (const auto* whole = std::get_if<std::int64_t>(&value))
-            held = std::to_string(*whole);
+            value_text = json_ || text->find(' ') != std::string::npos || text->empty()
+                             ? to_json_string(*text)
+                             : *text;
+        else if (const auto* integer = std::get_if<std::int64_t>(&value))
+            value_text = std::to_string(*integer);
         else
-            held = nlohmann::json(std::get<double>(value)).dump();
-        line += json_ ? ",\"" + std::string(name) + "\":" + held : " " + std::string(name) + "=" + held;
+            value_text = nlohmann::json(std::get<double>(value)).dump();
+        line += json_ ? ",\"" + std::string(name) + "\":" + value_text
+                      : " " + std::string(name) + "=" + value_text;
     }
-    logger_->log(time_now(), spdlog::source_loc{}, level_of(weight), spdlog::string_view_t(line));
+    logger_->log(monotonic_wall_time(), spdlog::source_loc{}, level_of(severity),
+                 spdlog::string_view_t(line));
 }
 
 }  // namespace copperfront
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -1,4 +1,4 @@
-// The program's log: one JSON object a line for machines, or one plain line for people. Written with spdlog.
+// The program's log, written with spdlog: one JSON object per line, or plain text lines.
 #pragma once
 
 #include <cstdint>
@@ -23,32 +23,33 @@
   public:
     using Field = std::pair<std::string_view, std::variant<std::string, double, std::int64_t>>;
 
-    // `level` and `form` as in the terms file. An empty file: standard error, where a line that can't be
-    // written at once is left out, and the number of those told once it can; else files are turned over by
-    // size. Throws std::runtime_error where the file cannot be opened.
-    Log(const std::string& level, const std::string& form, const std::string& file, std::size_t file_bytes,
+    // `level` and `format` are as in the terms file. An empty `file` means standard error, where a line that
+    // can't be written immediately is dropped, and the number of dropped lines is logged as soon as writing
+    // is possible again. Otherwise files are rotated by size. Throws std::runtime_error if the file cannot be
+    // opened.
+    Log(const std::string& level, const std::string& format, const std::string& file, std::size_t file_bytes,
         std::size_t files);
     ~Log();
     Log(const Log&) = delete;
     Log& operator=(const Log&) = delete;
 
     void set_level(const std::string& level);
-    bool writes(Weight weight) const;
-    // `package` is who says it; `what` a plain sentence that stays the same, what varies goes into the
+    bool writes(Weight severity) const;
+    // `component` names the source of the message. `message` is a constant text; variable data goes into the
     // fields.
-    void say(Weight weight, std::string_view package, std::string_view what,
+    void say(Weight severity, std::string_view component, std::string_view message,
              std::initializer_list<Field> fields = {});
     void flush();
 
   private:
-    void write(Weight weight, std::string_view package, std::string_view what,
-               std::initializer_list<Field> fields);
-    void tell_lines_left_out();
+    void write_record(Weight severity, std::string_view component, std::string_view message,
+                      std::initializer_list<Field> fields);
+    void report_dropped_lines();
 
     bool json_;
     std::shared_ptr<spdlog::logger> logger_;
-    std::shared_ptr<StandardErrorSink> standard_error_;  // null: the log is a file
-    std::uint64_t told_left_out_ = 0;                    // lines
+    std::shared_ptr<StandardErrorSink> standard_error_;  // null if the log is a file
+    std::uint64_t reported_dropped_lines_ = 0;           // dropped lines already reported
 };
 
 }  // namespace copperfront
--- a/src/logging/standard_error.h
+++ b/src/logging/standard_error.h
@@ -1,5 +1,5 @@
-// Standard error as the place of log lines. It may be a pipe or a terminal whose reader has stopped: a line
-// that can't be written at once is left out and counted, so that a log that nobody reads holds up nothing.
+// Log sink for standard error, which may be a pipe or terminal whose reader has stopped: a line that can't be
+// written immediately is dropped and counted, so that a log nobody reads never blocks the process.
 #pragma once
 
 #include <spdlog/details/null_mutex.h>
@@ -12,9 +12,9 @@
 
 class StandardErrorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    // Lines of which not all bytes could be written, since the start.
-    std::uint64_t left_out() const { return left_out_; }
-    bool takes_bytes() const;
+    // Number of lines since the start that could not be written completely.
+    std::uint64_t dropped_lines() const { return dropped_lines_; }
+    bool is_writable() const;
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override;
@@ -23,8 +23,8 @@
   private:
     bool write(std::string_view bytes);
 
-    std::uint64_t left_out_ = 0;
-    bool ends_within_line_ = false;
+    std::uint64_t dropped_lines_ = 0;
+    bool has_partial_line_ = false;
 };
 
 }  // namespace copperfront
--- a/src/logging/standard_streams.cpp
+++ b/src/logging/standard_streams.cpp
@@ -11,7 +11,7 @@
 void open_missing_standard_streams() {
     for (const int stream : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
         const bool closed = fcntl(stream, F_GETFD) < 0 && errno == EBADF;
-        // The lowest free number is taken, which is this one.
+        // open() returns the lowest free descriptor, which is this one.
         if (closed) open("/dev/null", O_RDWR);
     }
 }
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Loopback addresses as operators write them: "127.0.0.1:7400", "[::1]:7400". Port 0: any free one.
+// Loopback addresses in the form operators write: "127.0.0.1:7400", "[::1]:7400". Port 0 means any free port.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 class Address {
   public:
     Address() = default;
-    // Throws NetTrouble with what was read and what is expected. Only loopback addresses are taken: no part
-    // of the program may be reachable, or reach out, past this machine.
+    // Throws NetTrouble with the text found and the form expected. Only loopback addresses are accepted: no
+    // part of the program may be reachable from, or connect to, another machine.
     static Address parse(std::string_view text);
     static Address of(const sockaddr* raw);
 
@@ -30,7 +30,7 @@
   private:
     std::string host_;
     std::uint16_t port_ = 0;
-    bool six_ = false;
+    bool is_ipv6_ = false;
 };
 
 }  // namespace copperfront
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -13,69 +13,69 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr int kMostBinds = 50;
-constexpr std::chrono::milliseconds kBindAgain{100};
+constexpr int kMaxBindAttempts = 50;
+constexpr std::chrono::milliseconds kBindRetryDelay{100};
 
-// What the system may lack for a moment.
-bool is_shortage(int error) {
+// Errors for resources that the system may lack temporarily.
+bool is_resource_shortage(int error) {
     return error == ENOMEM || error == ENOBUFS || error == EMFILE || error == ENFILE || error == EINTR;
 }
 
-constexpr Span kAcceptAgain{20000};  // after too many open files
+constexpr Span kAcceptRetryDelay{20000};  // after an accept error such as too many open files
 
 }  // namespace
 
 Link::Link(const LinkBounds& bounds, Owner& owner) : bounds_(bounds), owner_(&owner) {}
 
 std::unique_ptr<Link> Link::accepted(Loop& loop, int fd, const LinkBounds& bounds, Owner& owner) {
-    std::unique_ptr<Link> link(new Link(bounds, owner));
-    link->stream_ = Stream::accepted(loop, fd, {bounds.unsent_bytes, 0}, *link);
-    return link;
+    std::unique_ptr<Link> connection(new Link(bounds, owner));
+    connection->stream_ = Stream::accepted(loop, fd, {bounds.unsent_bytes, 0}, *connection);
+    return connection;
 }
 
 std::unique_ptr<Link> Link::dial(Loop& loop, const Address& to, const LinkBounds& bounds, Owner& owner) {
-    std::unique_ptr<Link> link(new Link(bounds, owner));
-    link->stream_ = Stream::dial(loop, to, {bounds.unsent_bytes, 0}, *link);
-    return link;
+    std::unique_ptr<Link> connection(new Link(bounds, owner));
+    connection->stream_ = Stream::dial(loop, to, {bounds.unsent_bytes, 0}, *connection);
+    return connection;
 }
 
 void Link::send(std::string_view line) {
     if (closed_ || !owner_) return;
-    std::string whole;
-    whole.reserve(line.size() + 1);
-    whole.append(line).push_back('\n');
-    stream_->send(whole);
+    std::string message;
+    message.reserve(line.size() + 1);
+    message.append(line).push_back('\n');
+    stream_->send(message);
 }
 
 std::size_t Link::unsent() const { return stream_->unsent(); }
 
 void Link::pause_reading(bool pause) { stream_->pause_reading(pause); }
 
-void Link::hand_off(Loop& loop, std::unique_ptr<Link> link, bool flush) {
-    if (!link) return;
-    link->owner_ = nullptr;
-    Stream::hand_off(loop, std::move(link->stream_), flush && !link->closed_);
-    loop.bury(std::move(link));
+void Link::hand_off(Loop& loop, std::unique_ptr<Link> connection, bool flush) {
+    if (!connection) return;
+    connection->owner_ = nullptr;
+    Stream::hand_off(loop, std::move(connection->stream_), flush && !connection->closed_);
+    loop.bury(std::move(connection));
 }
 
-void Link::reset(Loop& loop, std::unique_ptr<Link> link) {
-    if (!link) return;
-    link->owner_ = nullptr;
-    Stream::reset(loop, std::move(link->stream_));
-    loop.bury(std::move(link));
+void Link::reset(Loop& loop, std::unique_ptr<Link> connection) {
+    if (!connection) return;
+    connection->owner_ = nullptr;
+    Stream::reset(loop, std::move(connection->stream_));
+    loop.bury(std::move(connection));
 }
 
 void Link::bytes_came(Stream& stream) {
     const auto alive = alive_;
     while (*alive && owner_ && !closed_) {
-        const std::size_t held = stream.held();
-        if (scanned_ >= held) break;
+        const std::size_t buffered = stream.held();
+        if (scanned_ >= buffered) break;
         const std::ptrdiff_t end = stream.find('\n', scanned_);
         if (end < 0) {
-            // What has been looked at once is not looked at again: a long line must cost its length, not its
-            // square.
-            scanned_ = held;
-            if (held > bounds_.line_bytes)
+            // Bytes already scanned are not scanned again, so that a long line takes linear, not quadratic,
+            // time.
+            scanned_ = buffered;
+            if (buffered > bounds_.line_bytes)
                 close(Closing::line_too_long,
                       "a line is longer than " + std::to_string(bounds_.line_bytes) + " bytes");
             break;
@@ -90,7 +90,7 @@
         if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
         scanned_ = 0;
         if (line.find_first_not_of(" \t") != std::string_view::npos) owner_->line_came(*this, line);
-        // A link that is handed off within the call has given its stream away, which is not gone yet.
+        // If the owner detached the connection within the call, the stream is owned elsewhere by now.
         if (*alive && stream_) stream.drain(length + 1);
     }
 }
@@ -104,41 +104,46 @@
     owner_->link_closed(*this, why, what);
 }
 
-Listener::Listener(Loop& loop, const Address& at, std::function<void(int fd)> came)
-    : loop_(loop), asked_(at), came_(std::move(came)), again_(loop, [this] { accept_connections(); }) {
+Listener::Listener(Loop& loop, const Address& at, std::function<void(int fd)> on_accept)
+    : loop_(loop),
+      requested_address_(at),
+      on_accept_(std::move(on_accept)),
+      retry_timer_(loop, [this] { enable_accepting(); }) {
     bind();
-    // Against a process that does not start because the system lacked memory or descriptors for a moment.
-    for (int tries = 1; !listener_ && is_shortage(errno) && tries < kMostBinds; ++tries) {
-        std::this_thread::sleep_for(kBindAgain);
+    // Retries, so that a temporary lack of memory or descriptors doesn't keep the process from starting.
+    for (int attempts = 1; !listener_ && is_resource_shortage(errno) && attempts < kMaxBindAttempts;
+         ++attempts) {
+        std::this_thread::sleep_for(kBindRetryDelay);
         bind();
     }
     if (!listener_) throw NetTrouble("cannot listen on " + at.text() + ": " + std::strerror(errno));
-    accept_connections();
+    enable_accepting();
     evconnlistener_set_error_cb(listener_, [](evconnlistener*, void* self) {
-        // Too many open files, for the most part. Accepting at once again would only spin.
-        Listener& mine = *static_cast<Listener*>(self);
+        // Usually too many open files. Accepting again immediately would busy-loop.
+        Listener& listener = *static_cast<Listener*>(self);
         const std::string what = std::strerror(EVUTIL_SOCKET_ERROR());
-        const Loop::Event event(mine.loop_, "accept");
-        evconnlistener_disable(mine.listener_);
-        mine.again_.set(kAcceptAgain);
-        if (mine.on_trouble) mine.on_trouble(what);
+        const Loop::Event event(listener.loop_, "accept");
+        evconnlistener_disable(listener.listener_);
+        listener.retry_timer_.set(kAcceptRetryDelay);
+        if (listener.on_trouble) listener.on_trouble(what);
     });
 }
 
-// Against a listener that is never watched, as the system had no room for it.
-void Listener::accept_connections() {
-    if (evconnlistener_enable(listener_) != 0) again_.set(kAcceptAgain);
+// Retries if the listener could not be registered for lack of system resources; otherwise it would never
+// accept.
+void Listener::enable_accepting() {
+    if (evconnlistener_enable(listener_) != 0) retry_timer_.set(kAcceptRetryDelay);
 }
 
 void Listener::bind() {
     sockaddr_storage raw{};
-    const int length = asked_.fill(&raw);
+    const int length = requested_address_.fill(&raw);
     listener_ = evconnlistener_new_bind(
         loop_.base(),
         [](evconnlistener*, int fd, sockaddr*, int, void* self) {
-            Listener& mine = *static_cast<Listener*>(self);
-            const Loop::Event event(mine.loop_, "accept");
-            mine.came_(fd);
+            Listener& listener = *static_cast<Listener*>(self);
+            const Loop::Event event(listener.loop_, "accept");
+            listener.on_accept_(fd);
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, kBacklog,
         reinterpret_cast<sockaddr*>(&raw), length);
@@ -152,7 +157,7 @@
     sockaddr_storage raw{};
     socklen_t length = sizeof raw;
     if (getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&raw), &length) != 0)
-        return asked_;
+        return requested_address_;
     return Address::of(reinterpret_cast<sockaddr*>(&raw));
 }
 
--- a/src/net/link.h
+++ b/src/net/link.h
@@ -1,5 +1,5 @@
-// A connection that carries one message a line, and the listener that takes such connections in. Bounds are
-// kept here: a line that never ends and a peer that never reads cost no more than was allowed.
+// A connection that carries one message per line, and a listener for incoming connections. The connection
+// bounds its memory: neither an endless line nor a peer that never reads can exceed the configured limits.
 #pragma once
 
 #include <cstddef>
@@ -17,37 +17,38 @@
 namespace copperfront {
 
 struct LinkBounds {
-    std::size_t line_bytes = 1 << 20;    // longest line that is taken
-    std::size_t unsent_bytes = 4 << 20;  // most that may wait for a peer that does not read
+    std::size_t line_bytes = 1 << 20;    // longest line that is accepted
+    std::size_t unsent_bytes = 4 << 20;  // most that may be queued for a peer that does not read
 };
 
-class Link : public Buried, private Stream::Owner {
+class Link : public DeferredDelete, private Stream::Owner {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // After a dial only.
+        // Only after dial().
         virtual void link_made(Link&) {}
-        // The view is gone after the call. The owner may bury the link within it.
+        // The view is valid only during the call, within which the owner may schedule the deletion of the
+        // connection.
         virtual void line_came(Link&, std::string_view line) = 0;
-        // Once, and nothing after it. `what` is a plain reason. Never from within send().
+        // Called once, as the last call, and never from within send(). `what` is the reason in plain words.
         virtual void link_closed(Link&, Closing why, const std::string& what) = 0;
     };
 
     static std::unique_ptr<Link> accepted(Loop& loop, int fd, const LinkBounds& bounds, Owner& owner);
-    // link_made or link_closed (not_made) follows, never from within this call.
+    // Either link_made() or link_closed(not_made) follows, never from within this call.
     static std::unique_ptr<Link> dial(Loop& loop, const Address& to, const LinkBounds& bounds, Owner& owner);
     ~Link() override { *alive_ = false; }
 
-    // Queues a line without its newline. Nothing is sent once the link has been closed; where the bound on
-    // what is unsent is passed, the link closes.
+    // Queues a line, given without its newline. Does nothing once the connection is closed; closes the
+    // connection if the limit on unsent bytes is exceeded.
     void send(std::string_view line);
     std::size_t unsent() const;
-    // Stops all calls to the owner, writes out what is queued if `flush` and the peer takes it within a
-    // second, and closes. The link may be buried at once with hand_off().
-    static void hand_off(Loop& loop, std::unique_ptr<Link> link, bool flush);
-    // Resets the connection (no orderly end): what a peer sees when a process dies.
-    static void reset(Loop& loop, std::unique_ptr<Link> link);
+    // Stops all calls to the owner, writes queued bytes if `flush` is set and the peer takes them within a
+    // second, and closes. Takes over the deletion of the connection.
+    static void hand_off(Loop& loop, std::unique_ptr<Link> connection, bool flush);
+    // Resets the connection instead of closing it in order, as a peer sees it when a process dies.
+    static void reset(Loop& loop, std::unique_ptr<Link> connection);
     void pause_reading(bool pause);
 
   private:
@@ -67,24 +68,24 @@
 
 class Listener {
   public:
-    // Throws NetTrouble. `came` gets the descriptor of each new connection.
-    Listener(Loop& loop, const Address& at, std::function<void(int fd)> came);
+    // Throws NetTrouble. `on_accept` gets the descriptor of each new connection.
+    Listener(Loop& loop, const Address& at, std::function<void(int fd)> on_accept);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
     Address address() const;
-    // Told of troubles such as too many open files; accepting goes on by itself after a pause.
+    // Called on errors such as too many open files; accepting resumes on its own after a pause.
     std::function<void(const std::string&)> on_trouble;
 
   private:
     void bind();
-    void accept_connections();
+    void enable_accepting();
 
     Loop& loop_;
-    const Address asked_;
-    std::function<void(int)> came_;
+    const Address requested_address_;
+    std::function<void(int)> on_accept_;
     evconnlistener* listener_ = nullptr;
-    Timer again_;
+    Timer retry_timer_;
 };
 
 }  // namespace copperfront
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,5 @@
-// One thread's event loop: time, timers, signals and what is to be done once the present callback is over.
+// Single-threaded event loop: time, timers, signals, and work deferred until the current callback has
+// returned.
 #pragma once
 
 #include <concepts>
@@ -16,11 +17,11 @@
 
 namespace copperfront {
 
-// Whatever may be in use by a callback that is still running is buried, not deleted.
-struct Buried {
-    virtual ~Buried() = default;
-    // Whether something would be lost that others still wait for, were it gone now.
-    virtual bool is_owed() const { return false; }
+// Base of objects that a running callback may still use: their deletion is deferred.
+struct DeferredDelete {
+    virtual ~DeferredDelete() = default;
+    // Returns whether deleting the object now would lose data that a peer still waits for.
+    virtual bool has_unsent_data() const { return false; }
 };
 
 class Loop : public Clock {
@@ -30,16 +31,16 @@
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    // Microseconds since 1970, read once at start and carried on by the steady clock, so that it never goes
-    // back and is near enough to other machines' clocks to compare the start of a server with. Within an
-    // event it is read once; outside of one, at each call.
+    // Microseconds since 1970: the wall clock read once at start, advanced by the monotonic clock. It never
+    // goes back, and is close enough to other machines' clocks to be compared with the start time of a
+    // server. It is read once per event; outside of events, at each call.
     Instant now() const override;
 
-    // One callback of the loop, from its begin to its end. Whatever the system calls back holds one.
+    // Scope of one callback of the loop. Every callback from the system creates one.
     class Event {
       public:
-        // `what`: names the kind of callback in logs; it stays where it is.
-        Event(Loop& loop, const char* what);
+        // `name` identifies the kind of callback in logs; the string is not copied.
+        Event(Loop& loop, const char* name);
         ~Event();
         Event(const Event&) = delete;
         Event& operator=(const Event&) = delete;
@@ -47,20 +48,21 @@
       private:
         Loop& loop_;
     };
-    // Called once at the end of the present event, before the loop waits again, and within the event's time.
+    // Called once at the end of the current event, before the loop waits again, and counted as part of the
+    // event.
     class AfterEvent {
       public:
-        virtual void event_over() = 0;
+        virtual void on_event_end() = 0;
 
       protected:
         ~AfterEvent() = default;
     };
     bool in_event() const { return event_depth_ > 0; }
-    void after_event(AfterEvent& who) { after_event_.push_back(&who); }
-    void forget(const AfterEvent& who);
+    void after_event(AfterEvent& handler) { after_event_.push_back(&handler); }
+    void remove_after_event(const AfterEvent& handler);
 
-    // Of all events since the last call: the one that took longest, in which the system may have held the
-    // process up, and the one that used most CPU time, which is work of the process itself.
+    // Of all events since the last call: the one that took longest, during which the system may have paused
+    // the process, and the one that used the most CPU time, which is work of the process itself.
     struct LongestEvents {
         Span took;
         const char* longest = "";
@@ -68,33 +70,35 @@
         const char* busiest = "";
     };
     LongestEvents take_longest_events();
-    // The present event is named more closely.
-    void name_event(const char* what) { event_name_ = what; }
+    // Gives the current event a more specific name.
+    void name_event(const char* name) { event_name_ = name; }
 
     void run();
     void stop();
 
-    // Done in order after the present callback, before the loop waits again.
-    void post(std::function<void()> what);
-    // Deleted after the present callback.
-    void bury(std::unique_ptr<Buried> what);
-    // The same for what is no Buried itself, such as an owner that its own stream calls.
-    template <class What>
-    requires(!std::derived_from<What, Buried>) void bury(std::unique_ptr<What> what) {
-        struct Grave : Buried {
-            std::unique_ptr<What> held;
+    // Runs callbacks in order after the current callback, before the loop waits again.
+    void post(std::function<void()> callback);
+    // Deletes the object after the current callback.
+    void bury(std::unique_ptr<DeferredDelete> object);
+    // The same for objects not derived from DeferredDelete, such as an owner that is called by its own
+    // stream.
+    template <class Object>
+    requires(!std::derived_from<Object, DeferredDelete>) void bury(std::unique_ptr<Object> object) {
+        struct Holder : DeferredDelete {
+            std::unique_ptr<Object> object;
         };
-        auto grave = std::make_unique<Grave>();
-        grave->held = std::move(what);
-        bury(std::unique_ptr<Buried>(std::move(grave)));
+        auto holder = std::make_unique<Holder>();
+        holder->object = std::move(object);
+        bury(std::unique_ptr<DeferredDelete>(std::move(holder)));
     }
-    // Kept until it is buried by its address, or until the loop ends: for what has no other owner any more.
-    void adopt(std::unique_ptr<Buried> what);
-    void bury(Buried* adopted);
+    // Takes over an object that has no other owner any more. It is kept until delete_later is called with its
+    // address or the loop ends.
+    void adopt(std::unique_ptr<DeferredDelete> object);
+    void bury(DeferredDelete* adopted);
     std::size_t adopted() const { return adopted_.size(); }
-    // The one that has been kept for longest and owes nothing goes now, to make room. False: there is none.
+    // Deletes the oldest adopted object without unsent data, to make room. Returns false if there is none.
     bool bury_oldest_adopted();
-    void on_signal(int signal, std::function<void()> what);
+    void on_signal(int signal, std::function<void()> callback);
 
     event_base* base() const { return base_; }
 
@@ -105,22 +109,22 @@
     event_base* base_;
     event* posted_event_;
     std::deque<std::function<void()>> posted_;
-    std::vector<std::unique_ptr<Buried>> graves_, adopted_;
+    std::vector<std::unique_ptr<DeferredDelete>> deferred_deletes_, adopted_;
     struct Signal;
     std::vector<std::unique_ptr<Signal>> signals_;
-    std::int64_t wall_at_start_, steady_at_start_;
+    std::int64_t wall_at_start_, monotonic_at_start_;
     int event_depth_ = 0;
-    std::vector<AfterEvent*> after_event_;  // null: forgotten
+    std::vector<AfterEvent*> after_event_;  // null: removed
     const char* event_name_ = "";
-    std::int64_t event_began_ = 0;      // on the steady clock
-    std::int64_t event_cpu_began_ = 0;  // of this thread
+    std::int64_t event_started_at_ = 0;      // monotonic clock
+    std::int64_t event_cpu_started_at_ = 0;  // CPU clock of this thread
     LongestEvents longest_events_;
 };
 
-// A timer that can be set again and called off; off at first and once it has rung.
+// A one-shot timer that can be set again and cancelled. Not set initially and after it has fired.
 class Timer {
   public:
-    Timer(Loop& loop, std::function<void()> what);
+    Timer(Loop& loop, std::function<void()> callback);
     ~Timer();
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
@@ -129,13 +133,14 @@
     bool is_set() const;
 
   private:
-    static void ring(int, short, void* self);
+    static void on_timeout(int, short, void* self);
     Loop& loop_;
-    std::function<void()> what_;
+    std::function<void()> callback_;
     event* event_;
 };
 
-// CLOCK_MONOTONIC in microseconds: the same for all processes of one machine, for records to be joined by.
+// CLOCK_MONOTONIC in microseconds: the same for all processes of one machine, so that their records can be
+// joined.
 std::int64_t machine_clock_us();
 
 }  // namespace copperfront
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -16,24 +16,24 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kLastWords{1000000};       // for a peer to take what is queued at a close
-constexpr int kMostStalled = 5;           // so often with none of it taken
-constexpr Span kLastWordsMost{20000000};  // in all
-// Most that is read and dropped of a peer that is told to go; past it the close is not waited for.
-constexpr std::size_t kMostDropped = 4 << 20;
-
-constexpr std::size_t kUsualRead = 4096;  // past it more is likely to lie in the system
-constexpr Span kMostUnread{10000000};  // what is said to have lain in the system for longer is not believed
-constexpr std::size_t kMostReadAtOnce = 64 << 10;
-constexpr Span kFloodWithin{1000};  // between writes
-constexpr Span kAgainAfter{5000};   // a read or write for which the system lacked memory
-
-// What a system call may fail with for a while, on a connection that is as sound as before.
-bool passes_by_itself(int error) {
+constexpr Span kFlushTimeout{1000000};       // time for a peer to take queued bytes at a close
+constexpr int kMaxStalledChecks = 5;         // consecutive checks in which the peer took nothing
+constexpr Span kMaxHalfCloseTime{20000000};  // total time of a half-close
+// Most bytes read and discarded from a peer after a half-close; past it the connection closes immediately.
+constexpr std::size_t kMaxDiscardedBytes = 4 << 20;
+
+constexpr std::size_t kTypicalReadBytes = 4096;  // from this size on, the socket is likely to hold more
+constexpr Span kMaxCredibleAge{10000000};        // longer reported ages are considered invalid
+constexpr std::size_t kMaxReadAtOnceBytes = 64 << 10;
+constexpr Span kWriteBatchInterval{1000};  // between writes; output within it is batched
+constexpr Span kRetryDelay{5000};          // after a read or write that failed for lack of memory
+
+// Errors that a system call may return temporarily on a healthy connection.
+bool is_transient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOMEM || error == ENOBUFS;
 }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -50,7 +50,7 @@
             return "not made";
         case Closing::line_too_long:
             return "line too long";
-        case Closing::reader_too_slow:
+        case Closing::peer_too_slow:
             return "peer reads too slowly";
     }
     return "";
@@ -61,23 +61,24 @@
 
 Stream::~Stream() {
     *alive_ = false;
-    take_back_write();
-    if (events_) bufferevent_free(events_);
+    cancel_scheduled_write();
+    if (buffer_event_) bufferevent_free(buffer_event_);
 }
 
 void Stream::set_callbacks() {
-    bufferevent_setcb(events_, readable, drained, happened, this);
-    // The event library writes only where the system has had no room.
-    bufferevent_disable(events_, EV_WRITE);
-    if (bounds_.held_bytes > 0) bufferevent_setwatermark(events_, EV_READ, 0, bounds_.held_bytes);
+    bufferevent_setcb(buffer_event_, on_readable, on_output_drained, on_event, this);
+    // libevent writes only after the socket buffer was full.
+    bufferevent_disable(buffer_event_, EV_WRITE);
+    if (bounds_.buffered_bytes > 0)
+        bufferevent_setwatermark(buffer_event_, EV_READ, 0, bounds_.buffered_bytes);
 }
 
 std::unique_ptr<Stream> Stream::accepted(Loop& loop, int fd, const Bounds& bounds, Owner& owner) {
     std::unique_ptr<Stream> stream(new Stream(loop, bounds, owner));
-    no_delay(fd);
-    stream->events_ = bufferevent_socket_new(loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
-    if (!stream->events_) throw std::bad_alloc();
-    stream->made_ = true;
+    set_no_delay(fd);
+    stream->buffer_event_ = bufferevent_socket_new(loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
+    if (!stream->buffer_event_) throw std::bad_alloc();
+    stream->connected_ = true;
     stream->set_callbacks();
     stream->enable(EV_READ);
     return stream;
@@ -87,291 +88,294 @@
     std::unique_ptr<Stream> stream(new Stream(loop, bounds, owner));
     sockaddr_storage raw{};
     const int length = to.fill(&raw);
-    stream->events_ =
+    stream->buffer_event_ =
         bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    if (!stream->events_) throw std::bad_alloc();
+    if (!stream->buffer_event_) throw std::bad_alloc();
     stream->set_callbacks();
-    if (bufferevent_socket_connect(stream->events_, reinterpret_cast<sockaddr*>(&raw), length) != 0) {
+    if (bufferevent_socket_connect(stream->buffer_event_, reinterpret_cast<sockaddr*>(&raw), length) != 0) {
         const std::string what = std::strerror(errno);
-        Stream* mine = stream.get();
-        loop.post([mine, what, alive = stream->alive_] {
-            if (*alive) mine->close(Closing::not_made, what);
+        Stream* raw_stream = stream.get();
+        loop.post([raw_stream, what, alive = stream->alive_] {
+            if (*alive) raw_stream->close(Closing::not_made, what);
         });
     }
     return stream;
 }
 
-std::size_t Stream::held() const { return evbuffer_get_length(bufferevent_get_input(events_)); }
+std::size_t Stream::held() const { return evbuffer_get_length(bufferevent_get_input(buffer_event_)); }
 
 std::string_view Stream::front() const {
     evbuffer_iovec piece{};
-    if (evbuffer_peek(bufferevent_get_input(events_), -1, nullptr, &piece, 1) < 1) return {};
+    if (evbuffer_peek(bufferevent_get_input(buffer_event_), -1, nullptr, &piece, 1) < 1) return {};
     return {static_cast<const char*>(piece.iov_base), piece.iov_len};
 }
 
 std::string_view Stream::pull(std::size_t n) {
-    const auto* data = evbuffer_pullup(bufferevent_get_input(events_), static_cast<ev_ssize_t>(n));
+    const auto* data = evbuffer_pullup(bufferevent_get_input(buffer_event_), static_cast<ev_ssize_t>(n));
     return data ? std::string_view(reinterpret_cast<const char*>(data), n) : std::string_view();
 }
 
 std::ptrdiff_t Stream::find(char c, std::size_t from) const {
-    evbuffer* in = bufferevent_get_input(events_);
+    evbuffer* in = bufferevent_get_input(buffer_event_);
     evbuffer_ptr start;
     if (from >= evbuffer_get_length(in) || evbuffer_ptr_set(in, &start, from, EVBUFFER_PTR_SET) != 0)
         return -1;
     return evbuffer_search(in, &c, 1, &start).pos;
 }
 
-void Stream::drain(std::size_t n) { evbuffer_drain(bufferevent_get_input(events_), n); }
+void Stream::drain(std::size_t n) { evbuffer_drain(bufferevent_get_input(buffer_event_), n); }
 
 void Stream::send(std::string_view bytes) {
     if (closed_ || flushing_ || !owner_) return;
-    evbuffer* out = bufferevent_get_output(events_);
+    evbuffer* out = bufferevent_get_output(buffer_event_);
     evbuffer_add(out, bytes.data(), bytes.size());
-    write_soon();
+    schedule_write();
     if (bounds_.unsent_bytes == 0 || evbuffer_get_length(out) <= bounds_.unsent_bytes) return;
-    // The owner is told later: it may be in the middle of whatever made it send.
+    // The owner is notified later, as it may be in the middle of the operation that sent these bytes.
     closed_ = true;
     loop_.post([this, alive = alive_] {
         if (!*alive || !owner_) return;
         closed_ = false;
-        close(Closing::reader_too_slow,
-              "more than " + std::to_string(bounds_.unsent_bytes) + " bytes wait for the peer to read");
+        close(Closing::peer_too_slow, "more than " + std::to_string(bounds_.unsent_bytes) +
+                                          " bytes are unsent because the peer reads too slowly");
     });
 }
 
-std::size_t Stream::unsent() const { return evbuffer_get_length(bufferevent_get_output(events_)); }
+std::size_t Stream::unsent() const { return evbuffer_get_length(bufferevent_get_output(buffer_event_)); }
 
-// What the system holds that the loop has not come to, without taking it.
-Stream::Pending Stream::pending_in_system() const {
+// Returns what the socket holds that the loop has not processed yet, without consuming it.
+Stream::Pending Stream::pending_in_socket() const {
     char next = 0;
-    const ssize_t there = recv(bufferevent_getfd(events_), &next, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (there > 0) return Pending::bytes;
-    // Against a connection that is taken for closed while it is not: its request would go unanswered.
-    return there < 0 && passes_by_itself(errno) ? Pending::nothing : Pending::end;
+    const ssize_t received = recv(bufferevent_getfd(buffer_event_), &next, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (received > 0) return Pending::bytes;
+    // A temporary error must not count as a close: the request on the connection would go unanswered.
+    return received < 0 && is_transient(errno) ? Pending::nothing : Pending::end;
 }
 
 bool Stream::peer_has_ended() const {
     if (closed_) return true;
-    if (!made_) return false;
-    // An end may lie behind bytes, and an error is told to the first that reads it.
-    pollfd at{bufferevent_getfd(events_), POLLRDHUP, 0};
-    const int answered = poll(&at, 1, 0);
-    if (answered < 0) return pending_in_system() == Pending::end;
-    return answered == 1 && (at.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    if (!connected_) return false;
+    // A close may be queued behind unread bytes, and a socket error is reported only to the first read.
+    pollfd at{bufferevent_getfd(buffer_event_), POLLRDHUP, 0};
+    const int ready = poll(&at, 1, 0);
+    if (ready < 0) return pending_in_socket() == Pending::end;
+    return ready == 1 && (at.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 bool Stream::is_quiet() const {
-    return !closed_ && made_ && held() == 0 && pending_in_system() == Pending::nothing;
+    return !closed_ && connected_ && held() == 0 && pending_in_socket() == Pending::nothing;
 }
 
 Span Stream::since_received() const {
     tcp_info info{};
     socklen_t length = sizeof info;
-    if (getsockopt(bufferevent_getfd(events_), IPPROTO_TCP, TCP_INFO, &info, &length) != 0) return {};
+    if (getsockopt(bufferevent_getfd(buffer_event_), IPPROTO_TCP, TCP_INFO, &info, &length) != 0) return {};
     const Span since{std::int64_t{info.tcpi_last_data_recv} * 1000};
-    return since < kMostUnread ? since : Span{};
+    return since < kMaxCredibleAge ? since : Span{};
 }
 
 void Stream::pause_reading(bool pause) {
     paused_ = pause;
     if (pause)
-        bufferevent_disable(events_, EV_READ);
+        bufferevent_disable(buffer_event_, EV_READ);
     else
         enable(EV_READ);
 }
 
-// The event library reads a few kilobytes for each turn of the loop, so that a long message would take as
-// many turns.
-void Stream::read_more() {
-    const std::size_t most = bounds_.held_bytes > 0 ? bounds_.held_bytes : kMostReadAtOnce;
-    evbuffer* const in = bufferevent_get_input(events_);
+// Reads more at once than libevent, which reads a few kilobytes per turn of the loop, so that a long message
+// would take many turns.
+void Stream::read_ahead() {
+    const std::size_t limit = bounds_.buffered_bytes > 0 ? bounds_.buffered_bytes : kMaxReadAtOnceBytes;
+    evbuffer* const in = bufferevent_get_input(buffer_event_);
     evbuffer_unfreeze(in, 0);
     int read = 1;
-    while (held() < most && read > 0) read = evbuffer_read(in, bufferevent_getfd(events_), -1);
-    if (read < 0 && !passes_by_itself(errno)) error_ = errno;
+    while (held() < limit && read > 0) read = evbuffer_read(in, bufferevent_getfd(buffer_event_), -1);
+    if (read < 0 && !is_transient(errno)) io_error_ = errno;
     evbuffer_freeze(in, 0);
 }
 
-bool Stream::waits_for_room() const { return (bufferevent_get_enabled(events_) & EV_WRITE) != 0; }
+bool Stream::waits_for_writable() const { return (bufferevent_get_enabled(buffer_event_) & EV_WRITE) != 0; }
 
-// What is sent within one event goes out in one call of the system; of a flood, what is sent until the loop
-// looks at the system again.
-void Stream::write_soon() {
-    if (!made_ || write_is_due_ || waits_for_room()) return;
-    const bool flood = written_at_.us != 0 && loop_.now() - written_at_ < kFloodWithin;
-    if (flood || !loop_.in_event()) {
+// Bytes sent within one event are written with one system call; under frequent sends, bytes are batched until
+// the loop polls the system again.
+void Stream::schedule_write() {
+    if (!connected_ || write_scheduled_ || waits_for_writable()) return;
+    const bool batching = last_write_at_.us != 0 && loop_.now() - last_write_at_ < kWriteBatchInterval;
+    if (batching || !loop_.in_event()) {
         enable(EV_WRITE);
         return;
     }
-    write_is_due_ = true;
+    write_scheduled_ = true;
     loop_.after_event(*this);
 }
 
-// Against bytes of what has been dropped: whoever drops it counts them as never sent.
-void Stream::take_back_write() {
-    if (std::exchange(write_is_due_, false)) loop_.forget(*this);
+// Prevents bytes of a dropped stream from being written: whoever drops it counts them as never sent.
+void Stream::cancel_scheduled_write() {
+    if (std::exchange(write_scheduled_, false)) loop_.remove_after_event(*this);
 }
 
-void Stream::event_over() {
-    write_is_due_ = false;
-    if (unsent() == 0 || waits_for_room()) return;
-    written_at_ = loop_.now();
-    evbuffer* const out = bufferevent_get_output(events_);
+void Stream::on_event_end() {
+    write_scheduled_ = false;
+    if (unsent() == 0 || waits_for_writable()) return;
+    last_write_at_ = loop_.now();
+    evbuffer* const out = bufferevent_get_output(buffer_event_);
     evbuffer_unfreeze(out, 1);
-    const int written = evbuffer_write(out, bufferevent_getfd(events_));
-    if (written < 0 && !passes_by_itself(errno)) error_ = errno;
+    const int written = evbuffer_write(out, bufferevent_getfd(buffer_event_));
+    if (written < 0 && !is_transient(errno)) io_error_ = errno;
     evbuffer_freeze(out, 1);
-    // It meets a connection that is broken as well, and tells of it.
+    // Watching for writability also detects and reports a broken connection.
     if (unsent() > 0)
         enable(EV_WRITE);
     else
-        all_written();
+        on_all_written();
 }
 
-void Stream::all_written() {
-    if (end_wanted_) end_sending();
+void Stream::on_all_written() {
+    if (half_close_requested_) half_close();
     if (flushing_) {
-        if (!polite_) last_words_->set(Span{0});
+        if (!half_closing_) close_timer_->set(Span{0});
         return;
     }
     if (owner_ && !closed_) owner_->all_sent(*this);
 }
 
-void Stream::end_sending() {
-    end_wanted_ = true;
-    if (unsent() == 0 && made_) shutdown(bufferevent_getfd(events_), SHUT_WR);
+void Stream::half_close() {
+    half_close_requested_ = true;
+    if (unsent() == 0 && connected_) shutdown(bufferevent_getfd(buffer_event_), SHUT_WR);
 }
 
 void Stream::hand_off(Loop& loop, std::unique_ptr<Stream> stream, bool flush) {
     if (!stream) return;
     stream->owner_ = nullptr;
-    if (!flush || stream->closed_ || !stream->made_ || stream->unsent() == 0) {
-        stream->take_back_write();
+    if (!flush || stream->closed_ || !stream->connected_ || stream->unsent() == 0) {
+        stream->cancel_scheduled_write();
         loop.bury(std::move(stream));
         return;
     }
-    // It now lives on its own until the peer has taken the rest, or a second has passed.
+    // The stream now lives on its own until the peer has taken the rest, or kFlushTimeout has passed.
     Stream* rest = stream.get();
     loop.adopt(std::move(stream));
     rest->flushing_ = true;
-    bufferevent_disable(rest->events_, EV_READ);
-    rest->last_words_ = std::make_unique<Timer>(loop, [rest, &loop] { loop.bury(rest); });
-    rest->last_words_->set(kLastWords);
+    bufferevent_disable(rest->buffer_event_, EV_READ);
+    rest->close_timer_ = std::make_unique<Timer>(loop, [rest, &loop] { loop.bury(rest); });
+    rest->close_timer_->set(kFlushTimeout);
 }
 
 void Stream::hand_off_politely(Loop& loop, std::unique_ptr<Stream> stream) {
     if (!stream) return;
     stream->owner_ = nullptr;
-    if (stream->closed_ || !stream->made_) {
-        stream->take_back_write();
+    if (stream->closed_ || !stream->connected_) {
+        stream->cancel_scheduled_write();
         loop.bury(std::move(stream));
         return;
     }
     Stream* rest = stream.get();
     loop.adopt(std::move(stream));
-    rest->flushing_ = rest->polite_ = true;
-    rest->still_queued_ = rest->unsent();
-    const Instant latest = loop.now() + kLastWordsMost;
-    rest->last_words_ = std::make_unique<Timer>(loop, [rest, &loop, latest] {
-        // Against a stream that its source has finished, and whose end is lost on a peer that reads slowly.
+    rest->flushing_ = rest->half_closing_ = true;
+    rest->last_queued_ = rest->unsent();
+    const Instant deadline = loop.now() + kMaxHalfCloseTime;
+    rest->close_timer_ = std::make_unique<Timer>(loop, [rest, &loop, deadline] {
+        // A peer that reads slowly must still get the end of a stream that its source has finished.
         const std::size_t queued = rest->unsent();
-        rest->stalled_ = queued < rest->still_queued_ ? 0 : rest->stalled_ + 1;
-        if (queued == 0 || rest->stalled_ >= kMostStalled || rest->done_ || loop.now() > latest)
+        rest->stalled_checks_ = queued < rest->last_queued_ ? 0 : rest->stalled_checks_ + 1;
+        if (queued == 0 || rest->stalled_checks_ >= kMaxStalledChecks || rest->peer_done_ ||
+            loop.now() > deadline)
             return loop.bury(rest);
-        rest->still_queued_ = queued;
-        rest->last_words_->set(kLastWords);
+        rest->last_queued_ = queued;
+        rest->close_timer_->set(kFlushTimeout);
     });
-    rest->last_words_->set(kLastWords);
+    rest->close_timer_->set(kFlushTimeout);
     rest->drain(rest->held());
     rest->enable(EV_READ);
-    rest->end_sending();
+    rest->half_close();
 }
 
 void Stream::reset(Loop& loop, std::unique_ptr<Stream> stream) {
     if (!stream) return;
     stream->owner_ = nullptr;
-    stream->take_back_write();
+    stream->cancel_scheduled_write();
     const linger now{1, 0};
-    if (const int fd = bufferevent_getfd(stream->events_); fd >= 0)
+    if (const int fd = bufferevent_getfd(stream->buffer_event_); fd >= 0)
         setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     loop.bury(std::move(stream));
 }
 
-void Stream::drained(bufferevent*, void* self) {
+void Stream::on_output_drained(bufferevent*, void* self) {
     Stream& stream = *static_cast<Stream*>(self);
     const Loop::Event event(stream.loop_, "sent");
-    // More may have been sent since.
+    // More may have been queued since.
     if (stream.unsent() > 0) return;
-    bufferevent_disable(stream.events_, EV_WRITE);
-    stream.all_written();
+    bufferevent_disable(stream.buffer_event_, EV_WRITE);
+    stream.on_all_written();
 }
 
-void Stream::readable(bufferevent*, void* self) {
+void Stream::on_readable(bufferevent*, void* self) {
     Stream& stream = *static_cast<Stream*>(self);
     const Loop::Event event(stream.loop_, "received");
     if (stream.flushing_) {
-        stream.dropped_ += stream.held();
+        stream.discarded_bytes_ += stream.held();
         stream.drain(stream.held());
-        if (stream.dropped_ <= kMostDropped) return;
-        stream.done_ = true;
-        stream.last_words_->set(Span{0});
+        if (stream.discarded_bytes_ <= kMaxDiscardedBytes) return;
+        stream.peer_done_ = true;
+        stream.close_timer_->set(Span{0});
         return;
     }
     if (!stream.owner_ || stream.closed_) return;
-    if (stream.held() >= kUsualRead) stream.read_more();
+    if (stream.held() >= kTypicalReadBytes) stream.read_ahead();
     stream.owner_->bytes_came(stream);
 }
 
-void Stream::happened(bufferevent*, short what, void* self) {
+void Stream::on_event(bufferevent*, short what, void* self) {
     Stream& stream = *static_cast<Stream*>(self);
-    const int number = EVUTIL_SOCKET_ERROR();
+    const int error_number = EVUTIL_SOCKET_ERROR();
     const Loop::Event event(stream.loop_, "connection");
-    if (stream.made_ && (what & BEV_EVENT_ERROR) && passes_by_itself(number)) return stream.go_on_soon(what);
+    if (stream.connected_ && (what & BEV_EVENT_ERROR) && is_transient(error_number))
+        return stream.resume_later(what);
     if (stream.flushing_) {
-        stream.done_ = true;
-        stream.last_words_->set(Span{0});
+        stream.peer_done_ = true;
+        stream.close_timer_->set(Span{0});
         return;
     }
     if (stream.closed_ || !stream.owner_) return;
     if (what & BEV_EVENT_CONNECTED) {
-        stream.made_ = true;
-        no_delay(bufferevent_getfd(stream.events_));
+        stream.connected_ = true;
+        set_no_delay(bufferevent_getfd(stream.buffer_event_));
         stream.enable(EV_READ);
-        if (stream.unsent() > 0) stream.write_soon();
+        if (stream.unsent() > 0) stream.schedule_write();
         stream.owner_->stream_made(stream);
         return;
     }
-    const std::string error = std::strerror(stream.error_ != 0 ? stream.error_ : number);
-    if (!stream.made_) return stream.close(Closing::not_made, error);
-    const bool ended = (what & BEV_EVENT_EOF) != 0 && stream.error_ == 0;
+    const std::string error = std::strerror(stream.io_error_ != 0 ? stream.io_error_ : error_number);
+    if (!stream.connected_) return stream.close(Closing::not_made, error);
+    const bool ended = (what & BEV_EVENT_EOF) != 0 && stream.io_error_ == 0;
     if (ended) return stream.close(Closing::peer_ended, "the peer closed the connection");
     stream.close(Closing::broken, error);
 }
 
-// The event library stops the direction that failed; what is queued stays.
-void Stream::go_on_soon(short what) { enable_soon((what & BEV_EVENT_READING) ? EV_READ : EV_WRITE); }
+// libevent disables the direction that failed; queued bytes stay.
+void Stream::resume_later(short what) { enable_later((what & BEV_EVENT_READING) ? EV_READ : EV_WRITE); }
 
-// Against a connection that is never read, as the system had no room to watch it.
+// Retries if the connection could not be registered for lack of system resources; otherwise it would never be
+// read.
 void Stream::enable(short directions) {
-    if (bufferevent_enable(events_, directions) != 0) enable_soon(directions);
+    if (bufferevent_enable(buffer_event_, directions) != 0) enable_later(directions);
 }
 
-void Stream::enable_soon(short directions) {
-    stopped_ = static_cast<short>(stopped_ | directions);
-    if (!again_) {
-        again_ = std::make_unique<Timer>(loop_, [this] {
-            const short wanted = std::exchange(stopped_, short{0});
+void Stream::enable_later(short directions) {
+    stopped_directions_ = static_cast<short>(stopped_directions_ | directions);
+    if (!retry_timer_) {
+        retry_timer_ = std::make_unique<Timer>(loop_, [this] {
+            const short wanted = std::exchange(stopped_directions_, short{0});
             if (!closed_) enable(static_cast<short>(paused_ ? wanted & ~EV_READ : wanted));
         });
     }
-    again_->set(kAgainAfter);
+    retry_timer_->set(kRetryDelay);
 }
 
 void Stream::close(Closing why, std::string what) {
     if (closed_ || !owner_) return;
     closed_ = true;
-    bufferevent_disable(events_, EV_READ);
+    bufferevent_disable(buffer_event_, EV_READ);
     owner_->stream_closed(*this, why, what);
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,5 @@
-// A connection of bytes: what lines and HTTP both stand on. Bounds are kept here: a peer that never reads, or
-// sends more than is taken, costs no more than was allowed.
+// A byte stream over a connection, the base of both the line protocol and HTTP. It bounds its memory: neither
+// a peer that never reads nor one that sends more than is consumed can exceed the configured limits.
 #pragma once
 
 #include <cstddef>
@@ -15,113 +15,114 @@
 namespace copperfront {
 
 enum class Closing {
-    peer_ended,      // the peer closed in good order
-    broken,          // reset, or another error of the socket
-    not_made,        // dialled, but never connected (nothing was sent)
-    line_too_long,   // the peer's line passed the bound
-    reader_too_slow  // the peer left more unread than the bound
+    peer_ended,     // the peer closed in order
+    broken,         // reset, or another socket error
+    not_made,       // the connection was never established; nothing was sent
+    line_too_long,  // the peer's line exceeded the limit
+    peer_too_slow   // unsent bytes exceeded the limit
 };
 const char* text_of(Closing why);
 
-class Stream : public Buried, private Loop::AfterEvent {
+class Stream : public DeferredDelete, private Loop::AfterEvent {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // After a dial only.
+        // Only after dial().
         virtual void stream_made(Stream&) {}
-        // More bytes are held. The owner takes what it can with front() and drain(), or pull(), and may bury
-        // the stream within the call.
+        // More bytes are buffered. The owner consumes what it can with front() and drain(), or pull(), and
+        // may schedule the deletion of the stream within the call.
         virtual void bytes_came(Stream&) = 0;
-        // All that was queued has been written out.
+        // All queued bytes have been written.
         virtual void all_sent(Stream&) {}
-        // Once, and nothing after it. `what` is a plain reason. Never from within send().
+        // Called once, as the last call, and never from within send(). `what` is the reason in plain words.
         virtual void stream_closed(Stream&, Closing why, const std::string& what) = 0;
     };
 
-    // `unsent_bytes`: the most that may wait for a peer that does not read; `held_bytes`: past it no more is
-    // read before some is taken; 0: no such bound.
+    // `unsent_bytes`: most bytes queued for a peer that does not read; `buffered_bytes`: reading stops while
+    // this many bytes are buffered. 0: unlimited.
     struct Bounds {
-        std::size_t unsent_bytes = 4 << 20, held_bytes = 0;
+        std::size_t unsent_bytes = 4 << 20, buffered_bytes = 0;
     };
 
     static std::unique_ptr<Stream> accepted(Loop& loop, int fd, const Bounds& bounds, Owner& owner);
-    // stream_made or stream_closed (not_made) follows, never from within this call.
+    // Either stream_made() or stream_closed(not_made) follows, never from within this call.
     static std::unique_ptr<Stream> dial(Loop& loop, const Address& to, const Bounds& bounds, Owner& owner);
     ~Stream() override;
-    // An answer that its peer is still taking.
-    bool is_owed() const override { return unsent() > 0; }
+    // The peer is still receiving a response.
+    bool has_unsent_data() const override { return unsent() > 0; }
 
     std::size_t held() const;
-    std::string_view front() const;        // the first bytes that lie in one piece
-    std::string_view pull(std::size_t n);  // the first n, put into one piece
-    // Of the first such byte at or after `from`; -1: there is none.
+    std::string_view front() const;        // the first contiguous bytes
+    std::string_view pull(std::size_t n);  // the first n bytes, made contiguous
+    // Returns the position of the first such byte at or after `from`, or -1.
     std::ptrdiff_t find(char c, std::size_t from) const;
     void drain(std::size_t n);
 
-    // Written to the system at the end of the present event, as far as it has room; the rest follows as it
-    // gets room, and what is sent within a millisecond of that in the next turn of the loop. Nothing is sent
-    // once the stream has been closed; where the bound on what is unsent is passed, it closes.
+    // Queues bytes. They are written to the socket at the end of the current event, as far as it has room;
+    // the rest follows when it has. Bytes sent within a millisecond of that write are written in the next
+    // turn of the loop. Does nothing once the stream is closed; closes the stream if the limit on unsent
+    // bytes is exceeded.
     void send(std::string_view bytes);
     std::size_t unsent() const;
-    bool made() const { return made_; }
-    // Whether the peer has closed or reset, asked of the system: its end may lie behind bytes, or behind
-    // other events, that the loop has not come to yet.
+    bool made() const { return connected_; }
+    // Asks the system whether the peer has closed or reset the connection: the close may be queued behind
+    // bytes or events that the loop has not processed yet.
     bool peer_has_ended() const;
-    // Whether nothing has come that has not been taken, asked of the system as well: neither bytes nor an
-    // end.
+    // Returns whether there is no unconsumed input, neither bytes nor a close, in the buffer or in the
+    // socket.
     bool is_quiet() const;
-    // How long ago the system received the newest bytes of the peer, which the loop may come to much later;
-    // nothing where it does not tell.
+    // Time since the system received the peer's newest bytes, which the loop may process much later; zero if
+    // the system does not report it.
     Span since_received() const;
     void pause_reading(bool pause);
-    // Sends an end after what is queued; reading goes on.
-    void end_sending();
+    // Shuts down the sending side after the queued bytes; reading continues.
+    void half_close();
 
-    // Stops all calls to the owner, writes out what is queued if `flush` and the peer takes it within a
+    // Stops all calls to the owner, writes queued bytes if `flush` is set and the peer takes them within a
     // second, and closes.
     static void hand_off(Loop& loop, std::unique_ptr<Stream> stream, bool flush);
-    // The same, but a half-close: the peer is given a second to see the end before the connection closes, and
-    // more while it still takes what is queued. What it sends meanwhile is read and dropped, as a close on
-    // unread bytes would be a reset that can eat the last answer.
+    // The same with a half-close: the peer has a second to see the end before the connection closes, and
+    // longer while it still takes queued bytes. Its input meanwhile is read and discarded, as closing with
+    // unread bytes would send a reset, which can destroy the last response.
     static void hand_off_politely(Loop& loop, std::unique_ptr<Stream> stream);
-    // Resets the connection (no orderly end): what a peer sees when a process dies.
+    // Resets the connection instead of closing it in order, as a peer sees it when a process dies.
     static void reset(Loop& loop, std::unique_ptr<Stream> stream);
 
   private:
     Stream(Loop& loop, const Bounds& bounds, Owner& owner);
     enum class Pending { nothing, bytes, end };
-    Pending pending_in_system() const;
-    static void readable(bufferevent*, void* self);
-    static void drained(bufferevent*, void* self);
-    static void happened(bufferevent*, short what, void* self);
+    Pending pending_in_socket() const;
+    static void on_readable(bufferevent*, void* self);
+    static void on_output_drained(bufferevent*, void* self);
+    static void on_event(bufferevent*, short what, void* self);
     void close(Closing why, std::string what);
-    void read_more();
-    bool waits_for_room() const;
-    void write_soon();
-    void take_back_write();
-    void event_over() override;
-    void all_written();
-    void go_on_soon(short what);
-    // Directions are EV_READ and EV_WRITE; where the system lacks memory or room they are tried again.
+    void read_ahead();
+    bool waits_for_writable() const;
+    void schedule_write();
+    void cancel_scheduled_write();
+    void on_event_end() override;
+    void on_all_written();
+    void resume_later(short what);
+    // Directions are EV_READ and EV_WRITE. Retries if the system lacks memory or resources.
     void enable(short directions);
-    void enable_soon(short directions);
+    void enable_later(short directions);
     void set_callbacks();
 
     Loop& loop_;
     Bounds bounds_;
     Owner* owner_;
-    bufferevent* events_ = nullptr;
-    bool made_ = false, closed_ = false, flushing_ = false, polite_ = false, end_wanted_ = false,
-         done_ = false;
+    bufferevent* buffer_event_ = nullptr;
+    bool connected_ = false, closed_ = false, flushing_ = false, half_closing_ = false,
+         half_close_requested_ = false, peer_done_ = false;
     bool paused_ = false;
-    bool write_is_due_ = false;  // at the end of the present event
-    Instant written_at_;         // by such a write
-    int error_ = 0;              // that a read or write of its own has met: the system tells it once
-    short stopped_ = 0;          // directions that wait for the system to have memory or room again
-    int stalled_ = 0;
-    std::size_t dropped_ = 0, still_queued_ = 0;
-    std::unique_ptr<Timer> last_words_, again_;
+    bool write_scheduled_ = false;  // at the end of the current event
+    Instant last_write_at_;         // time of the last such write
+    int io_error_ = 0;              // from a read or write of this class: the system reports it only once
+    short stopped_directions_ = 0;  // directions that wait for the system to have memory or resources again
+    int stalled_checks_ = 0;
+    std::size_t discarded_bytes_ = 0, last_queued_ = 0;
+    std::unique_ptr<Timer> close_timer_, retry_timer_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/platform/answers.cpp
+++ b/src/platform/answers.cpp
@@ -5,47 +5,50 @@
 namespace copperfront::platform {
 namespace {
 
-constexpr std::size_t kMostEvent = 64 * 1024;
-constexpr const char* kNeverRan = "X-Unprocessed";
+constexpr std::size_t kMaxEventBytes = 64 * 1024;
+constexpr const char* kUnprocessedHeader = "X-Unprocessed";
 
-bool starts_with(std::string_view text, std::string_view with) { return text.substr(0, with.size()) == with; }
+bool starts_with(std::string_view text, std::string_view prefix) {
+    return text.substr(0, prefix.size()) == prefix;
+}
 
 }  // namespace
 
 bool begins_stream(const http::Head& head) {
     const std::string* type = head.find("Content-Type");
     return head.status == 200 && head.chunked && type &&
-           http::alike(std::string_view(*type).substr(0, type->find(';')), "text/event-stream");
+           http::equals_ignoring_case(std::string_view(*type).substr(0, type->find(';')),
+                                      "text/event-stream");
 }
 
-Outcome outcome_of(const http::Head& head, std::string_view body, bool reading) {
-    Outcome o;
-    o.ending = Ending::error;
-    const std::string* mark = head.find(kNeverRan);
-    const bool never_ran = mark && *mark == "1";
-    if (reading && head.status == 202) {
-        o.ending = Ending::read;
-        // A figure that can't be read is only one less to learn from; the state is there.
-        const Json told = Json::parse(body, nullptr, false);
-        if (told.is_object())
-            if (const Json* kept = field(told, "cached_tokens"); kept && kept->is_number())
-                o.kept_tokens = std::max(0.0, kept->get<double>());
-    } else if (never_ran && head.status == 410) {
-        o.ending = Ending::full;
-        o.no_state = true;
-    } else if (never_ran && (head.status == 503 || head.status == 504)) {
-        o.ending = Ending::full;
+Outcome outcome_of(const http::Head& head, std::string_view body, bool is_prefill) {
+    Outcome outcome;
+    outcome.ending = Ending::error;
+    const std::string* unprocessed_header = head.find(kUnprocessedHeader);
+    const bool unprocessed = unprocessed_header && *unprocessed_header == "1";
+    if (is_prefill && head.status == 202) {
+        outcome.ending = Ending::read;
+        // The prefill has succeeded even if the figure is unreadable; only the figure is then unknown.
+        const Json json = Json::parse(body, nullptr, false);
+        if (json.is_object())
+            if (const Json* cached = field(json, "cached_tokens"); cached && cached->is_number())
+                outcome.kept_tokens = std::max(0.0, cached->get<double>());
+    } else if (unprocessed && head.status == 410) {
+        outcome.ending = Ending::full;
+        outcome.no_state = true;
+    } else if (unprocessed && (head.status == 503 || head.status == 504)) {
+        outcome.ending = Ending::full;
     }
-    return o;
+    return outcome;
 }
 
-bool Events::line_is_well(std::string_view line) {
+bool Events::accept_line(std::string_view line) {
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     if (line.empty()) {
         has_data_ = false;
         return true;
     }
-    // What comes after the end belongs to nobody.
+    // Nothing may follow [DONE].
     if (finished_) return false;
     if (starts_with(line, "data:")) {
         line.remove_prefix(5);
@@ -61,33 +64,33 @@
            starts_with(line, "retry:");
 }
 
-bool Events::take(std::string_view bytes, std::string& whole, std::size_t& count) {
-    whole.clear();
+bool Events::take(std::string_view bytes, std::string& complete_events, std::size_t& count) {
+    complete_events.clear();
     count = 0;
-    held_.append(bytes);
-    std::size_t passed = 0;
-    bool well = true;
+    buffer_.append(bytes);
+    std::size_t complete_end = 0;
+    bool valid = true;
     for (;;) {
-        const std::size_t end = held_.find('\n', scanned_);
+        const std::size_t end = buffer_.find('\n', scanned_);
         if (end == std::string::npos) break;
-        const std::string_view line(held_.data() + scanned_, end - scanned_);
+        const std::string_view line(buffer_.data() + scanned_, end - scanned_);
         const bool had_data = has_data_;
-        if (!line_is_well(line)) {
-            well = false;
+        if (!accept_line(line)) {
+            valid = false;
             break;
         }
         scanned_ = end + 1;
         if (line.empty() || line == "\r") {
-            passed = scanned_;
+            complete_end = scanned_;
             count += had_data;
         }
     }
-    // Against a line that can't be one, whose end may never come.
-    if (well && held_.size() - passed > kMostEvent) well = false;
-    whole.assign(held_, 0, passed);
-    held_.erase(0, passed);
-    scanned_ -= passed;
-    return well;
+    // Bounds the buffer: a line of an invalid stream may never end.
+    if (valid && buffer_.size() - complete_end > kMaxEventBytes) valid = false;
+    complete_events.assign(buffer_, 0, complete_end);
+    buffer_.erase(0, complete_end);
+    scanned_ -= complete_end;
+    return valid;
 }
 
 }  // namespace copperfront::platform
--- a/src/platform/answers.h
+++ b/src/platform/answers.h
@@ -1,4 +1,4 @@
-// What model servers answer, in our words: how an attempt has ended, and the events of a stream. Free of I/O.
+// Interprets responses of model servers: the outcome of an attempt, and the events of a stream. No I/O.
 #pragma once
 
 #include <string>
@@ -9,27 +9,30 @@
 
 namespace copperfront::platform {
 
-// Whether this head may begin a stream: 200, of events, in chunks. Anything else tells how the attempt ended
-// once its body is there.
+// Returns whether this response head starts an event stream: status 200, text/event-stream, chunked. Any
+// other response gives the outcome of the attempt once its body is complete.
 bool begins_stream(const http::Head& head);
 
-// Of an answer that is whole and no stream. `reading`: it was sent to a reader.
-Outcome outcome_of(const http::Head& head, std::string_view body, bool reading);
+// Returns the outcome for a complete response that is not a stream. `is_prefill`: the request went to a
+// prefill server.
+Outcome outcome_of(const http::Head& head, std::string_view body, bool is_prefill);
 
-// Cuts a stream into events, strictly: what is no event was made by no model server, and is not passed on.
+// Splits a stream into server-sent events. Parsing is strict: anything that is not an event does not come
+// from a model server and is not forwarded.
 class Events {
   public:
-    // False: the stream is spoilt, and nothing of `bytes` past the last whole event counts. `whole` gets all
-    // events that are whole now, unchanged.
-    bool take(std::string_view bytes, std::string& whole, std::size_t& count);
-    // The event that ends a stream has come, and nothing after it.
-    bool finished() const { return finished_ && held_.empty(); }
+    // Appends `bytes` and sets `complete_events` to the text of all events that are now complete, unchanged,
+    // and `count` to the number of those with data. Returns false if the stream is malformed; nothing of
+    // `bytes` past the last complete event counts then.
+    bool take(std::string_view bytes, std::string& complete_events, std::size_t& count);
+    // Returns whether the final event of the stream has been received, and nothing after it.
+    bool finished() const { return finished_ && buffer_.empty(); }
 
   private:
-    bool line_is_well(std::string_view line);
+    bool accept_line(std::string_view line);
 
-    std::string held_;
-    std::size_t scanned_ = 0;  // of held_: lines that were looked at
+    std::string buffer_;
+    std::size_t scanned_ = 0;  // bytes of buffer_ whose lines have been checked
     bool finished_ = false, has_data_ = false;
 };
 
--- a/src/platform/call.h
+++ b/src/platform/call.h
@@ -1,4 +1,4 @@
-// A client's call, from its headers to an arrival in our words. Free of I/O.
+// Parses a client's HTTP request into the facts that routing uses. No I/O.
 #pragma once
 
 #include <string>
@@ -13,20 +13,21 @@
 inline constexpr const char* kCallPath = "/v1/chat/completions";
 inline constexpr const char* kReadyPath = "/health/ready";
 inline constexpr const char* kLivePath = "/health/live";
-inline constexpr const char* kIdHeader = "X-Correlation-Id";
+inline constexpr const char* kRequestIdHeader = "X-Correlation-Id";
 inline constexpr const char* kLeftHeader = "X-Time-Left-Ms";
 
 struct Call {
     std::string id;
     Arrival facts;
-    bool again = false;  // marked as a repeat
+    bool again = false;  // the client marked it as a repeat
 };
 
-// Empty: `call` holds it; else what is wrong, for an answer with 400. The body is looked at as well: a model
-// server closes on what it can't read, whatever else waits there.
-std::string read_call(const http::Head& head, std::string_view body, const Named& named, Call& call);
+// Parses a request into `request`. Returns an empty string, or the error text for a 400 response. The body is
+// checked as well: a model server closes its connection on a malformed body, including other requests that
+// wait on it.
+std::string read_call(const http::Head& head, std::string_view body, const Named& names, Call& request);
 
-// The path without its query.
+// Returns the path of a request target, without its query string.
 std::string_view path_of(std::string_view target);
 
 }  // namespace copperfront::platform
--- a/src/platform/json.cpp
+++ b/src/platform/json.cpp
@@ -21,9 +21,9 @@
 
 double number(const Json& object, const char* name) { return as_number(needed(object, name), name); }
 
-double number_or(const Json& object, const char* name, double absent) {
+double number_or(const Json& object, const char* name, double default_value) {
     const Json* value = field(object, name);
-    return value ? as_number(*value, name) : absent;
+    return value ? as_number(*value, name) : default_value;
 }
 
 std::uint64_t whole(const Json& object, const char* name) {
@@ -40,9 +40,9 @@
 
 std::string text(const Json& object, const char* name) { return as_text(needed(object, name), name); }
 
-std::string text_or(const Json& object, const char* name, const char* absent) {
+std::string text_or(const Json& object, const char* name, const char* default_value) {
     const Json* value = field(object, name);
-    return value ? as_text(*value, name) : absent;
+    return value ? as_text(*value, name) : default_value;
 }
 
 bool flag(const Json& object, const char* name) {
@@ -73,8 +73,8 @@
     return std::llround(ms * 1000.0);
 }
 
-Span span_or(const Json& object, const char* name, double absent_ms) {
-    return {micros(number_or(object, name, absent_ms))};
+Span span_or(const Json& object, const char* name, double default_ms) {
+    return {micros(number_or(object, name, default_ms))};
 }
 
 }  // namespace copperfront::platform
--- a/src/platform/json.h
+++ b/src/platform/json.h
@@ -1,5 +1,5 @@
-// What is wanted of JSON that comes from outside: a field is there and of its sort, or BadInput says which is
-// not. Free of I/O.
+// Typed access to the fields of untrusted JSON. The functions throw BadInput, which names the field, if a
+// required field is missing or a field has the wrong type. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
     using std::runtime_error::runtime_error;
 };
 
-// Null where it is absent or null.
+// Returns null if the field is absent or null.
 const Json* field(const Json& object, const char* name);
 const Json& needed(const Json& object, const char* name);
 double as_number(const Json& value, const char* name);
 double number(const Json& object, const char* name);
-double number_or(const Json& object, const char* name, double absent);
+double number_or(const Json& object, const char* name, double default_value);
 std::uint64_t whole(const Json& object, const char* name);
 std::string as_text(const Json& value, const char* name);
 std::string text(const Json& object, const char* name);
-std::string text_or(const Json& object, const char* name, const char* absent);
+std::string text_or(const Json& object, const char* name, const char* default_value);
 bool flag(const Json& object, const char* name);
 const Json& object_or_empty(const Json& parent, const char* name);
 const Json& list_or_empty(const Json& parent, const char* name);
 std::int64_t micros(double ms);
-Span span_or(const Json& object, const char* name, double absent_ms);
+Span span_or(const Json& object, const char* name, double default_ms);
 
 }  // namespace copperfront::platform
--- a/src/platform/json_member.cpp
+++ b/src/platform/json_member.cpp
@@ -3,7 +3,7 @@
 namespace copperfront::platform {
 namespace {
 
-// Past the string that begins at `at`; the end of the text where it does not end.
+// Returns the position past the string that starts at `at`, or the end of the text if it is not terminated.
 std::size_t end_of_string(std::string_view text, std::size_t at) {
     for (++at; at < text.size(); ++at) {
         if (text[at] == '\\') {
@@ -20,7 +20,7 @@
     return at;
 }
 
-// Past the value that begins at `at`.
+// Returns the position past the value that starts at `at`.
 std::size_t end_of_value(std::string_view text, std::size_t at) {
     int depth = 0;
     while (at < text.size()) {
@@ -40,23 +40,23 @@
 
 }  // namespace
 
-JsonMember take_member(std::string_view object, std::string_view key) {
+JsonMember extract_member(std::string_view object, std::string_view key) {
     std::size_t at = skip_space(object, 0);
     if (at < object.size() && object[at] == '{') ++at;
     while (at < object.size()) {
         at = skip_space(object, at);
         if (at >= object.size() || object[at] != '"') break;
-        const std::size_t name = at + 1;
+        const std::size_t name_begin = at + 1;
         at = end_of_string(object, at);
-        const std::string_view found = object.substr(name, at - name - 1);
+        const std::string_view found = object.substr(name_begin, at - name_begin - 1);
         at = skip_space(object, at);
         if (at >= object.size() || object[at] != ':') break;
-        const std::size_t value = skip_space(object, at + 1);
-        at = end_of_value(object, value);
+        const std::size_t value_begin = skip_space(object, at + 1);
+        at = end_of_value(object, value_begin);
         if (found == key) {
             JsonMember member;
-            member.value = object.substr(value, at - value);
-            member.rest.append(object.substr(0, value)).append("null").append(object.substr(at));
+            member.value = object.substr(value_begin, at - value_begin);
+            member.rest.append(object.substr(0, value_begin)).append("null").append(object.substr(at));
             return member;
         }
         at = skip_space(object, at);
--- a/src/platform/json_member.h
+++ b/src/platform/json_member.h
@@ -1,5 +1,5 @@
-// Takes one member out of the text of a JSON object without reading its value, for a value that is long and
-// read elsewhere, or not at all. Free of I/O.
+// Extracts one member from the text of a JSON object without parsing its value, for a value that is long and
+// parsed elsewhere or not at all. No I/O.
 #pragma once
 
 #include <string>
@@ -8,11 +8,12 @@
 namespace copperfront::platform {
 
 struct JsonMember {
-    std::string_view value;  // its text, a part of the object's; empty: there is no such member
-    std::string rest;        // the object's text with null in the place of the value
+    std::string_view value;  // its text, a view into the object's; empty: no such member
+    std::string rest;        // the object's text with the value replaced by null
 };
 
-// Of the outermost object. What is no JSON is left to whoever reads the parts.
-JsonMember take_member(std::string_view object, std::string_view key);
+// Extracts a member of the outermost object. Doesn't validate the JSON: that is left to the parsers of the
+// two parts.
+JsonMember extract_member(std::string_view object, std::string_view key);
 
 }  // namespace copperfront::platform
--- a/src/platform/list_reader.cpp
+++ b/src/platform/list_reader.cpp
@@ -5,10 +5,10 @@
 namespace copperfront::platform {
 namespace {
 
-constexpr std::size_t kMostEntryBytes = 16 << 10;
-constexpr std::size_t kUsualEntryBytes = 128;
-constexpr std::size_t kMostFrameBytes = 1 << 20;
-constexpr std::string_view kEntriesBegin = "\"endpoints\":[";
+constexpr std::size_t kMaxEntryBytes = 16 << 10;
+constexpr std::size_t kTypicalEntryBytes = 128;
+constexpr std::size_t kMaxEnvelopeBytes = 1 << 20;
+constexpr std::string_view kEntriesKey = "\"endpoints\":[";
 constexpr int kRootDepth = 1, kEntriesDepth = 2;
 
 bool is_space(char byte) { return byte == ' ' || byte == '\n' || byte == '\r' || byte == '\t'; }
@@ -16,31 +16,31 @@
 }  // namespace
 
 void ListReader::take(std::string_view bytes) {
-    if (bytes_ == 0) news_.entries.reserve(bytes.size() / kUsualEntryBytes);
+    if (bytes_ == 0) update_.entries.reserve(bytes.size() / kTypicalEntryBytes);
     bytes_ += bytes.size();
-    std::size_t entry_begins = 0;
+    std::size_t entry_begin = 0;
     for (std::size_t at = 0; at < bytes.size(); ++at) {
         const char byte = bytes[at];
         const bool in_string = is_in_string(byte);
         if (!in_string && (byte == '{' || byte == '[')) {
-            const bool begins_entry = in_entries_ && depth_ == kEntriesDepth && byte == '{';
-            if (begins_entry) {
+            const bool starts_entry = in_entries_ && depth_ == kEntriesDepth && byte == '{';
+            if (starts_entry) {
                 in_entry_ = true;
-                entry_begins = at;
+                entry_begin = at;
             }
-            open(byte);
+            open_container(byte);
         } else if (!in_string && (byte == '}' || byte == ']')) {
-            close(byte);
+            close_container(byte);
             if (in_entry_ && depth_ == kEntriesDepth) {
-                end_entry(bytes.substr(entry_begins, at + 1 - entry_begins));
+                finish_entry(bytes.substr(entry_begin, at + 1 - entry_begin));
                 continue;
             }
         }
-        if (!in_entry_ && (in_string || !is_space(byte))) keep(byte);
+        if (!in_entry_ && (in_string || !is_space(byte))) append_to_envelope(byte);
     }
     if (!in_entry_) return;
-    entry_.append(bytes.substr(entry_begins));
-    if (entry_.size() > kMostEntryBytes) throw BadInput("an entry that does not end");
+    partial_entry_.append(bytes.substr(entry_begin));
+    if (partial_entry_.size() > kMaxEntryBytes) throw BadInput("a list entry is too long");
 }
 
 bool ListReader::is_in_string(char byte) {
@@ -58,61 +58,61 @@
     return true;
 }
 
-bool ListReader::at_entries() const {
-    return frame_.size() + 1 >= kEntriesBegin.size() &&
-           std::string_view(frame_).substr(frame_.size() + 1 - kEntriesBegin.size()) ==
-               kEntriesBegin.substr(0, kEntriesBegin.size() - 1);
+bool ListReader::follows_entries_key() const {
+    return envelope_.size() + 1 >= kEntriesKey.size() &&
+           std::string_view(envelope_).substr(envelope_.size() + 1 - kEntriesKey.size()) ==
+               kEntriesKey.substr(0, kEntriesKey.size() - 1);
 }
 
-void ListReader::open(char byte) {
-    if (depth_ == kRootDepth && byte == '[') in_entries_ = at_entries();
+void ListReader::open_container(char byte) {
+    if (depth_ == kRootDepth && byte == '[') in_entries_ = follows_entries_key();
     ++depth_;
 }
 
-void ListReader::close(char byte) {
+void ListReader::close_container(char byte) {
     if (depth_ == 0) throw BadInput("not JSON");
     --depth_;
     if (depth_ == kRootDepth && byte == ']') in_entries_ = false;
 }
 
-void ListReader::end_entry(std::string_view last_part) {
-    std::string earlier = std::exchange(entry_, {});
+void ListReader::finish_entry(std::string_view last_piece) {
+    std::string earlier = std::exchange(partial_entry_, {});
     in_entry_ = false;
-    if (!earlier.empty()) earlier.append(last_part);
-    const std::string_view text = earlier.empty() ? last_part : std::string_view(earlier);
-    check_entry_count(news_.entries.size() + 1);
-    news_.entries.push_back(read_entry_text(text));
-    keep('0');
+    if (!earlier.empty()) earlier.append(last_piece);
+    const std::string_view text = earlier.empty() ? last_piece : std::string_view(earlier);
+    check_entry_count(update_.entries.size() + 1);
+    update_.entries.push_back(read_entry_text(text));
+    append_to_envelope('0');
 }
 
-void ListReader::keep(char byte) {
-    if (frame_.size() >= kMostFrameBytes) throw BadInput("more beside its entries than a list has");
-    frame_.push_back(byte);
+void ListReader::append_to_envelope(char byte) {
+    if (envelope_.size() >= kMaxEnvelopeBytes) throw BadInput("too much data beside the entries of the list");
+    envelope_.push_back(byte);
 }
 
 std::vector<Entry> ListReader::take_withdrawn() {
     std::vector<Entry> withdrawn;
-    for (; looked_at_ < news_.entries.size(); ++looked_at_) {
-        const Entry& entry = news_.entries[looked_at_];
+    for (; next_withdrawn_ < update_.entries.size(); ++next_withdrawn_) {
+        const Entry& entry = update_.entries[next_withdrawn_];
         if (entry.standing != Standing::ready) withdrawn.push_back(entry);
     }
     return withdrawn;
 }
 
 News ListReader::finish() {
-    const Json frame = Json::parse(std::exchange(frame_, {}), nullptr, false);
-    if (frame.is_discarded()) throw BadInput("not JSON");
-    if (!frame.is_object()) throw BadInput("not an object: the list");
-    news_.index = whole(frame, "index");
-    news_.whole = flag(frame, "snapshot");
-    // Each of them stands as a zero in the frame.
-    if (list_or_empty(frame, "endpoints").size() != news_.entries.size()) {
+    const Json envelope = Json::parse(std::exchange(envelope_, {}), nullptr, false);
+    if (envelope.is_discarded()) throw BadInput("not JSON");
+    if (!envelope.is_object()) throw BadInput("not an object: the list");
+    update_.index = whole(envelope, "index");
+    update_.whole = flag(envelope, "snapshot");
+    // Each entry was replaced by a zero in the envelope.
+    if (list_or_empty(envelope, "endpoints").size() != update_.entries.size()) {
         throw BadInput("not an object: endpoints");
     }
-    for (const Json& place : list_or_empty(frame, "endpoints")) {
-        if (!place.is_number_integer() || place != 0) throw BadInput("not an object: endpoints");
+    for (const Json& placeholder : list_or_empty(envelope, "endpoints")) {
+        if (!placeholder.is_number_integer() || placeholder != 0) throw BadInput("not an object: endpoints");
     }
-    return std::exchange(news_, {});
+    return std::exchange(update_, {});
 }
 
 }  // namespace copperfront::platform
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -1,5 +1,5 @@
-// Reads a list of model servers as its bytes come. Each entry is read once its last byte is there, so a long
-// list takes no second copy of itself and no long turn of the event loop. Free of I/O.
+// Incremental parser for a list of model servers. Each entry is parsed as soon as it is complete, so a long
+// list is neither buffered as a whole nor parsed in one long turn of the event loop. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,34 +13,35 @@
 
 class ListReader {
   public:
-    // The next bytes. Throws BadInput where no list can come of them; nothing may be taken after that.
+    // Parses the next bytes. Throws BadInput if they cannot be part of a list; take() may not be called after
+    // that.
     void take(std::string_view bytes);
-    // Entries that were read since the last call and tell that a server drains or is gone. They hold whatever
-    // the rest of the list says.
+    // Returns the entries parsed since the last call whose servers are draining or removed. These are valid
+    // whatever the rest of the list says.
     std::vector<Entry> take_withdrawn();
-    // All bytes are there. Throws BadInput where they make no list.
+    // Call once all bytes have been taken. Throws BadInput if they are not a list.
     News finish();
-    // Taken so far.
+    // Number of bytes taken so far.
     std::size_t bytes() const { return bytes_; }
 
   private:
-    // The member of the outermost object in which entries stand.
-    bool at_entries() const;
-    // Whether the byte lies within a string, its quotes included.
+    // Returns whether the next array is the "endpoints" member of the outermost object.
+    bool follows_entries_key() const;
+    // Returns whether the byte belongs to a string, its quotes included.
     bool is_in_string(char byte);
-    void open(char byte);
-    void close(char byte);
-    void end_entry(std::string_view last_part);
-    void keep(char byte);
+    void open_container(char byte);
+    void close_container(char byte);
+    void finish_entry(std::string_view last_piece);
+    void append_to_envelope(char byte);
 
-    News news_;
+    News update_;
     std::size_t bytes_ = 0;
-    std::size_t looked_at_ = 0;  // entries, by take_withdrawn
-    int depth_ = 0;              // of objects and arrays
+    std::size_t next_withdrawn_ = 0;  // index of the next entry for take_withdrawn()
+    int depth_ = 0;                   // nesting of objects and arrays
     bool in_string_ = false, escaped_ = false;
     bool in_entries_ = false, in_entry_ = false;
-    std::string entry_;  // the part of the present entry that came in earlier pieces
-    std::string frame_;  // all else, with a zero in the place of each entry
+    std::string partial_entry_;  // bytes of the current entry from earlier pieces
+    std::string envelope_;       // everything else, with a zero in place of each entry
 };
 
 }  // namespace copperfront::platform
--- a/src/platform/node_terms.cpp
+++ b/src/platform/node_terms.cpp
@@ -7,18 +7,18 @@
 namespace copperfront::platform {
 namespace {
 
-constexpr double kMostSockets = 1 << 20;
+constexpr double kMaxDescriptors = 1 << 20;
 
-template <class What>
-auto within(const char* where, What what) {
+template <class Function>
+auto with_context(const char* context, Function function) {
     try {
-        return what();
-    } catch (const BadInput& bad) {
-        throw BadInput(std::string(where) + ": " + bad.what());
+        return function();
+    } catch (const BadInput& error) {
+        throw BadInput(std::string(context) + ": " + error.what());
     }
 }
 
-bool begins_alike(const Names& now, const Names& next) {
+bool is_prefix(const Names& now, const Names& next) {
     if (next.size() < now.size()) return false;
     for (std::uint32_t n = 0; n < now.size(); ++n)
         if (now.name(n) != next.name(n)) return false;
@@ -27,64 +27,65 @@
 
 }  // namespace
 
-NodeTerms read_node_terms(std::string_view raw, const Variable& variable) {
-    JsonMember known = take_member(raw, "known");
-    const Json file = Json::parse(known.rest, nullptr, false);
+NodeTerms read_node_terms(std::string_view text, const EnvironmentLookup& environment) {
+    JsonMember known_member = extract_member(text, "known");
+    const Json file = Json::parse(known_member.rest, nullptr, false);
     if (file.is_discarded())
         throw BadInput("not JSON; expected one object with name, listen, discovery, settings");
     if (!file.is_object()) throw BadInput("not an object; expected name, listen, discovery, settings");
-    const auto told = [&](const char* key, const char* name) {
+    const auto text_or_variable = [&](const char* key, const char* name) {
         std::string value = text_or(file, key, "");
-        if (value.empty()) value = variable(name);
+        if (value.empty()) value = environment(name);
         return value;
     };
     NodeTerms terms;
-    terms.name = told("name", "ROUTER_NAME");
-    terms.listen = told("listen", "ROUTER_LISTEN");
-    terms.discovery = told("discovery", "ROUTER_DISCOVERY");
+    terms.name = text_or_variable("name", "ROUTER_NAME");
+    terms.listen = text_or_variable("listen", "ROUTER_LISTEN");
+    terms.discovery = text_or_variable("discovery", "ROUTER_DISCOVERY");
     if (terms.listen.empty()) throw BadInput("listen: missing; expected an address and a port");
     const std::string seed = text_or(file, "seed", "");
     terms.seed = static_cast<std::uint32_t>(mark(seed));
     const Json& limits = object_or_empty(file, "limits");
-    within("limits", [&] {
+    with_context("limits", [&] {
         terms.memory_mb = number_or(limits, "memory_mb", 0);
         const double sockets = number_or(limits, "sockets", 0);
-        if (!(sockets >= 0 && sockets <= kMostSockets)) throw BadInput("out of bounds: sockets");
+        if (!(sockets >= 0 && sockets <= kMaxDescriptors)) throw BadInput("out of bounds: sockets");
         terms.sockets = static_cast<std::size_t>(sockets);
         return 0;
     });
-    if (known.value != "null") terms.known = std::move(known.value);
-    // Under a name that is spelt with escapes.
-    if (const Json* listed = field(file, "known")) terms.known = listed->dump();
+    if (known_member.value != "null") terms.known = std::move(known_member.value);
+    // The member's name may be spelt with escapes, which extract_member() does not recognise.
+    if (const Json* known_json = field(file, "known")) terms.known = known_json->dump();
     const Json& settings = needed(file, "settings");
     if (!settings.is_object()) throw BadInput("not an object: settings");
-    within("settings", [&] {
+    with_context("settings", [&] {
         terms.core = read_terms(settings, terms.named);
-        terms.links = read_links(settings);
+        terms.links = read_connection_settings(settings);
         return 0;
     });
-    if (terms.core.kinds.empty()) throw BadInput("settings: models: no kind of model server is named");
-    if (terms.core.categories.empty()) throw BadInput("settings: profiles: no category is named");
+    if (terms.core.kinds.empty())
+        throw BadInput("settings: models: expected at least one kind of model server");
+    if (terms.core.categories.empty()) throw BadInput("settings: profiles: expected at least one category");
     return terms;
 }
 
 News read_known_list(const NodeTerms& terms) {
     if (terms.known.empty()) return {0, true, {}};
-    return within("known", [&] {
+    return with_context("known", [&] {
         ListReader reader;
         reader.take(terms.known);
-        News known = reader.finish();
-        known.whole = true;
-        return known;
+        News list = reader.finish();
+        list.whole = true;
+        return list;
     });
 }
 
 std::string stands_against(const NodeTerms& now, const NodeTerms& next) {
-    if (!begins_alike(now.named.kinds, next.named.kinds)) return "settings: models may only have grown";
-    if (!begins_alike(now.named.categories, next.named.categories))
-        return "settings: profiles may only have grown";
-    if (!begins_alike(now.named.groups, next.named.groups)) return "settings: realms may only have grown";
-    if (!begins_alike(now.named.zones, next.named.zones)) return "settings: azs may only have grown";
+    if (!is_prefix(now.named.kinds, next.named.kinds)) return "settings: models may only be appended to";
+    if (!is_prefix(now.named.categories, next.named.categories))
+        return "settings: profiles may only be appended to";
+    if (!is_prefix(now.named.groups, next.named.groups)) return "settings: realms may only be appended to";
+    if (!is_prefix(now.named.zones, next.named.zones)) return "settings: azs may only be appended to";
     for (std::uint32_t k = 0; k < now.core.kinds.size(); ++k)
         if (now.core.kinds[k].role != next.core.kinds[k].role)
             return "settings: the role of " + now.named.kinds.name(k) + " cannot change";
--- a/src/platform/node_terms.h
+++ b/src/platform/node_terms.h
@@ -1,5 +1,5 @@
-// What a gateway is told at its start and again on SIGHUP: the file that ROUTER_CONFIG names, where other
-// variables only fill what it leaves out. Free of I/O.
+// The gateway's configuration, read at start and again on SIGHUP from the file that ROUTER_CONFIG names.
+// Other environment variables only supply what the file leaves out. No I/O.
 #pragma once
 
 #include <functional>
@@ -14,26 +14,26 @@
 struct NodeTerms {
     std::string name, listen, discovery;
     std::uint32_t seed = 0;
-    double memory_mb = 0;     // 0: not limited
-    std::size_t sockets = 0;  // descriptors; 0: not told
-    std::string known;        // the text of the list as this gateway last had it; empty: none
+    double memory_mb = 0;     // 0: unlimited
+    std::size_t sockets = 0;  // maximum number of descriptors; 0: not configured
+    std::string known;        // text of the server list this gateway last received; empty: none
     Terms core;
     Named named;
-    Links links;
+    ConnectionSettings links;
 };
 
-// A variable of the environment by its name; empty: it is not set.
-using Variable = std::function<std::string(const char*)>;
+// Returns the value of an environment variable; empty if it is not set.
+using EnvironmentLookup = std::function<std::string(const char*)>;
 
-// Throws BadInput: where in the file, and what was expected.
-NodeTerms read_node_terms(std::string_view text, const Variable& variable);
+// Throws BadInput with the position in the file and what was expected there.
+NodeTerms read_node_terms(std::string_view text, const EnvironmentLookup& environment);
 
-// The list that the file names, as a whole. It may be long, and a gateway that runs has a newer one. Throws
-// BadInput.
+// Parses the file's server list as a snapshot. Separate from read_node_terms(), as the list may be long and a
+// running gateway already has a newer one. Throws BadInput.
 News read_known_list(const NodeTerms& terms);
 
-// Whether what is in hand under `now` can go on under `next`: indices that core has met keep their meaning.
-// Empty: it can; else what stands against it.
+// Checks whether requests in progress under `now` can continue under `next`: indices already in use must keep
+// their meaning. Returns an empty string, or the reason why they cannot.
 std::string stands_against(const NodeTerms& now, const NodeTerms& next);
 
 }  // namespace copperfront::platform
--- a/src/platform/registry.cpp
+++ b/src/platform/registry.cpp
@@ -6,37 +6,37 @@
 namespace copperfront::platform {
 namespace {
 
-constexpr std::size_t kMostEntries = 100000;
-constexpr std::size_t kMostName = 256;
+constexpr std::size_t kMaxEntries = 100000;
+constexpr std::size_t kMaxNameBytes = 256;
 
-std::string name_of(const Json& entry, const char* key) {
+std::string required_name(const Json& entry, const char* key) {
     std::string name = text(entry, key);
-    if (name.empty() || name.size() > kMostName) throw BadInput(std::string("empty or too long: ") + key);
+    if (name.empty() || name.size() > kMaxNameBytes) throw BadInput(std::string("empty or too long: ") + key);
     return name;
 }
 
-struct NamedStanding {
+struct StatusName {
     std::string_view name;
     Standing standing;
 };
-constexpr std::array<NamedStanding, 3> kStandings{
+constexpr std::array<StatusName, 3> kStatusNames{
     {{"up", Standing::ready}, {"draining", Standing::draining}, {"removed", Standing::gone}}};
 
-bool read_standing(std::string_view status, Standing& standing) {
-    for (const NamedStanding& known : kStandings) {
-        if (known.name != status) continue;
-        standing = known.standing;
+bool parse_status(std::string_view status, Standing& standing) {
+    for (const StatusName& candidate : kStatusNames) {
+        if (candidate.name != status) continue;
+        standing = candidate.standing;
         return true;
     }
     return false;
 }
 
-// Reads an entry in its usual form without a tree of it, as lists have thousands. Whatever is not usual stops
-// it, and is left to read_entry.
-class UsualEntry : public nlohmann::json_sax<Json> {
+// Parses an entry in its common flat form without building a JSON tree, as lists have thousands of entries.
+// Stops at anything else, which is left to read_entry().
+class FlatEntryParser : public nlohmann::json_sax<Json> {
   public:
-    // False: it is not in the usual form.
-    bool read(std::string_view text, Entry& entry) {
+    // Returns false if the entry is not in the flat form.
+    bool parse(std::string_view text, Entry& entry) {
         entry_ = &entry;
         return Json::sax_parse(text, this) && has_name_ && has_status_ &&
                (has_address_ || entry.standing == Standing::gone);
@@ -54,9 +54,9 @@
     bool string(string_t& value) override {
         switch (field_) {
             case Field::name:
-                return take_name(value, entry_->name, has_name_);
+                return store_name(value, entry_->name, has_name_);
             case Field::address:
-                return take_name(value, entry_->address, has_address_);
+                return store_name(value, entry_->address, has_address_);
             case Field::kind:
                 entry_->kind = std::move(value);
                 return true;
@@ -67,7 +67,7 @@
                 entry_->cell = std::move(value);
                 return true;
             case Field::status:
-                return !std::exchange(has_status_, true) && read_standing(value, entry_->standing);
+                return !std::exchange(has_status_, true) && parse_status(value, entry_->standing);
             case Field::since:
                 return false;
             case Field::other:
@@ -76,11 +76,11 @@
         return false;
     }
     bool binary(binary_t&) override { return false; }
-    bool start_object(std::size_t) override { return !std::exchange(begun_, true); }
+    bool start_object(std::size_t) override { return !std::exchange(started_, true); }
     bool key(string_t& name) override {
         field_ = Field::other;
-        for (const NamedField& known : kFields) {
-            if (known.name == name) field_ = known.field;
+        for (const NamedField& candidate : kFields) {
+            if (candidate.name == name) field_ = candidate.field;
         }
         return true;
     }
@@ -105,57 +105,58 @@
                                                         {"status", Field::status},
                                                         {"since_ms", Field::since}}};
 
-    static bool take_name(std::string& value, std::string& to, bool& has) {
-        if (value.empty() || value.size() > kMostName) return false;
-        to = std::move(value);
-        return !std::exchange(has, true);
+    static bool store_name(std::string& value, std::string& target, bool& is_set) {
+        if (value.empty() || value.size() > kMaxNameBytes) return false;
+        target = std::move(value);
+        return !std::exchange(is_set, true);
     }
 
     Entry* entry_ = nullptr;
     Field field_ = Field::other;
-    bool begun_ = false, has_name_ = false, has_address_ = false, has_status_ = false;
+    bool started_ = false, has_name_ = false, has_address_ = false, has_status_ = false;
 };
 
 }  // namespace
 
 Entry read_entry_text(std::string_view text) {
     Entry entry;
-    if (UsualEntry().read(text, entry)) return entry;
+    if (FlatEntryParser().parse(text, entry)) return entry;
     const Json json = Json::parse(text, nullptr, false);
     if (json.is_discarded()) throw BadInput("not JSON");
     return read_entry(json);
 }
 
-Entry read_entry(const Json& e) {
-    if (!e.is_object()) throw BadInput("not an object: endpoints");
+Entry read_entry(const Json& json) {
+    if (!json.is_object()) throw BadInput("not an object: endpoints");
     Entry entry;
-    entry.name = name_of(e, "name");
-    entry.kind = text_or(e, "type", "");
-    entry.zone = text_or(e, "zone", "");
-    const Json* group = field(e, "group");
+    entry.name = required_name(json, "name");
+    entry.kind = text_or(json, "type", "");
+    entry.zone = text_or(json, "zone", "");
+    const Json* group = field(json, "group");
     entry.cell = !group ? "" : group->is_string() ? group->get<std::string>() : group->dump();
-    const std::string status = text(e, "status");
-    if (!read_standing(status, entry.standing)) throw BadInput("unknown status: " + status);
-    // Of one that is gone nothing but the name is needed.
-    entry.address = entry.standing == Standing::gone ? text_or(e, "address", "") : name_of(e, "address");
-    entry.born = {micros(number_or(e, "since_ms", 0))};
+    const std::string status = text(json, "status");
+    if (!parse_status(status, entry.standing)) throw BadInput("unknown status: " + status);
+    // A removed server needs nothing but its name.
+    entry.address =
+        entry.standing == Standing::gone ? text_or(json, "address", "") : required_name(json, "address");
+    entry.born = {micros(number_or(json, "since_ms", 0))};
     return entry;
 }
 
 void check_entry_count(std::size_t entries) {
-    if (entries > kMostEntries) throw BadInput("too many endpoints");
+    if (entries > kMaxEntries) throw BadInput("too many endpoints");
 }
 
-News read_news(const Json& news) {
-    if (!news.is_object()) throw BadInput("not an object: the list");
-    News told;
-    told.index = whole(news, "index");
-    told.whole = flag(news, "snapshot");
-    const Json& entries = list_or_empty(news, "endpoints");
+News read_server_list(const Json& json) {
+    if (!json.is_object()) throw BadInput("not an object: the list");
+    News update;
+    update.index = whole(json, "index");
+    update.whole = flag(json, "snapshot");
+    const Json& entries = list_or_empty(json, "endpoints");
     check_entry_count(entries.size());
-    told.entries.reserve(entries.size());
-    for (const Json& e : entries) told.entries.push_back(read_entry(e));
-    return told;
+    update.entries.reserve(entries.size());
+    for (const Json& e : entries) update.entries.push_back(read_entry(e));
+    return update;
 }
 
 }  // namespace copperfront::platform
--- a/src/platform/registry.h
+++ b/src/platform/registry.h
@@ -1,4 +1,4 @@
-// What discovery tells: the list of model servers and its changes. Free of I/O.
+// Discovery data: the list of model servers and its updates. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 struct Entry {
     std::string name, address, zone, kind, cell;
     Standing standing = Standing::ready;
-    Instant born;  // on the wall clock; 0: long ago
+    Instant born;  // start of the server by the wall clock; 0: long ago
 };
 
 struct News {
@@ -23,11 +23,11 @@
     std::vector<Entry> entries;
 };
 
-// Throws BadInput, also where a single entry can't be read: half a list is no list.
-News read_news(const Json& news);
+// Throws BadInput, also if a single entry is invalid: an incomplete list must not be used.
+News read_server_list(const Json& json);
 Entry read_entry(const Json& entry);
 Entry read_entry_text(std::string_view entry);
-// Throws BadInput where no list has so many entries.
+// Throws BadInput if a list may not have that many entries.
 void check_entry_count(std::size_t entries);
 
 }  // namespace copperfront::platform
--- a/src/platform/settings.cpp
+++ b/src/platform/settings.cpp
@@ -4,21 +4,21 @@
 
 namespace copperfront::platform {
 
-Terms read_terms(const Json& env, Named& named) {
-    Terms t;
-    const Json& info = object_or_empty(env, "family-info");
-    const Json& limits = object_or_empty(env, "limits");
-    const Json& safety = object_or_empty(env, "safety");
-    const Json& load = object_or_empty(env, "load-info");
+Terms read_terms(const Json& settings, Named& names) {
+    Terms terms;
+    const Json& family_info = object_or_empty(settings, "family-info");
+    const Json& limits = object_or_empty(settings, "limits");
+    const Json& safety = object_or_empty(settings, "safety");
+    const Json& load_info = object_or_empty(settings, "load-info");
 
-    for (const Json& zone : list_or_empty(env, "azs")) named.zones.index(as_text(zone, "azs"));
-    t.zone = static_cast<std::uint16_t>(named.zones.index(text_or(env, "zone", "")));
-    t.gateways = std::max(1, static_cast<int>(number_or(env, "balancers", 1)));
+    for (const Json& zone : list_or_empty(settings, "azs")) names.zones.index(as_text(zone, "azs"));
+    terms.zone = static_cast<std::uint16_t>(names.zones.index(text_or(settings, "zone", "")));
+    terms.gateways = std::max(1, static_cast<int>(number_or(settings, "balancers", 1)));
 
-    const Json& roles = list_or_empty(info, "role-by-kind");
-    const Json& memory = list_or_empty(info, "tokens-by-kind");
-    for (const Json& model : list_or_empty(env, "models")) {
-        const std::size_t k = named.kinds.index(as_text(model, "models"));
+    const Json& roles = list_or_empty(family_info, "role-by-kind");
+    const Json& memory = list_or_empty(family_info, "tokens-by-kind");
+    for (const Json& model : list_or_empty(settings, "models")) {
+        const std::size_t k = names.kinds.index(as_text(model, "models"));
         Kind kind;
         if (k < roles.size()) {
             const std::string role = as_text(roles[k], "role-by-kind");
@@ -26,13 +26,13 @@
             kind.role = role == "read" ? Role::reader : role == "write" ? Role::writer : Role::mixed;
         }
         if (k < memory.size()) kind.memory_tokens = as_number(memory[k], "tokens-by-kind");
-        t.kinds.push_back(kind);
+        terms.kinds.push_back(kind);
     }
 
-    const Json& stretch = list_or_empty(info, "aim-us-per-1000-prompt-tokens");
-    const Json& gaps = list_or_empty(info, "token-aim-ms");
-    for (const Json& profile : list_or_empty(env, "profiles")) {
-        const std::size_t c = named.categories.index(text(profile, "name"));
+    const Json& prompt_goals = list_or_empty(family_info, "aim-us-per-1000-prompt-tokens");
+    const Json& token_gaps = list_or_empty(family_info, "token-aim-ms");
+    for (const Json& profile : list_or_empty(settings, "profiles")) {
+        const std::size_t c = names.categories.index(text(profile, "name"));
         Category category;
         const std::string effect = text_or(profile, "effect", "repeatable");
         if (effect != "repeatable" && effect != "by_key" && effect != "once")
@@ -47,52 +47,54 @@
         category.window = span_or(profile, "window-ms", 0);
         category.latency_goal = {micros(number(profile, "target-ms"))};
         category.stream = flag(profile, "stream");
-        if (c < stretch.size())
-            category.goal_per_thousand = {micros(as_number(stretch[c], "aim-us") / 1000.0)};
-        if (c < gaps.size()) category.token_gap = {micros(as_number(gaps[c], "token-aim-ms"))};
-        t.categories.push_back(category);
+        if (c < prompt_goals.size())
+            category.goal_per_thousand = {micros(as_number(prompt_goals[c], "aim-us") / 1000.0)};
+        if (c < token_gaps.size()) category.token_gap = {micros(as_number(token_gaps[c], "token-aim-ms"))};
+        terms.categories.push_back(category);
     }
 
-    for (const Json& realm : list_or_empty(env, "realms")) {
-        named.groups.index(text(realm, "name"));
-        t.quotas.push_back(number_or(realm, "quota-per-s", 0));
+    for (const Json& realm : list_or_empty(settings, "realms")) {
+        names.groups.index(text(realm, "name"));
+        terms.quotas.push_back(number_or(realm, "quota-per-s", 0));
     }
 
-    t.cancel = flag(limits, "cancel");
-    t.probes = flag(limits, "probes");
-    t.peers = flag(limits, "peers");
-    t.max_attempts = static_cast<std::uint32_t>(std::max(1.0, number_or(limits, "max-attempts", 1)));
-    if (flag(limits, "retry-after")) t.max_stay_away = span_or(limits, "max-retry-after-ms", 0);
-    t.probe_fee = number_or(object_or_empty(env, "fees"), "probe", 0);
-    t.writers_read = flag(info, "writers-read");
-    t.ask_for_list = text_or(env, "discovery", "pushed") == "on_request";
-    const std::string how = text_or(load, "how", "off");
-    if (how != "inline" && how != "on_probe" && how != "off") throw BadInput("unknown load-info.how: " + how);
-    t.reports_by_probe = how == "on_probe";
-    for (const Json& name : list_or_empty(load, "names")) {
-        if (how == "off") break;
-        t.reports_memory |= as_text(name, "names") == "x0";
-        t.reports_unread |= as_text(name, "names") == "x1";
+    terms.cancel = flag(limits, "cancel");
+    terms.probes = flag(limits, "probes");
+    terms.peers = flag(limits, "peers");
+    terms.max_attempts = static_cast<std::uint32_t>(std::max(1.0, number_or(limits, "max-attempts", 1)));
+    if (flag(limits, "retry-after")) terms.max_stay_away = span_or(limits, "max-retry-after-ms", 0);
+    terms.probe_fee = number_or(object_or_empty(settings, "fees"), "probe", 0);
+    terms.writers_read = flag(family_info, "writers-read");
+    terms.ask_for_list = text_or(settings, "discovery", "pushed") == "on_request";
+    const std::string load_mode = text_or(load_info, "how", "off");
+    if (load_mode != "inline" && load_mode != "on_probe" && load_mode != "off")
+        throw BadInput("unknown load-info.how: " + load_mode);
+    terms.reports_by_probe = load_mode == "on_probe";
+    for (const Json& name : list_or_empty(load_info, "names")) {
+        if (load_mode == "off") break;
+        terms.reports_memory |= as_text(name, "names") == "x0";
+        terms.reports_unread |= as_text(name, "names") == "x1";
     }
-    t.quantum = span_or(env, "quantum-ms", 0);
-    t.connect_within = span_or(limits, "connect-timeout-ms", 0);
-    t.connections_rest = span_or(limits, "conn-idle-ms", 0);
-    t.release_within = span_or(info, "release-ms", 1000);
-    t.start_capacity = number_or(safety, "start-capacity", 1);
-    t.tip_multiple = number_or(safety, "tip-multiple", 1);
-    t.fall = span_or(safety, "fall-ms", 0);
-    t.warm_within = span_or(safety, "warm-within-ms", 0);
-    return t;
+    terms.quantum = span_or(settings, "quantum-ms", 0);
+    terms.connect_within = span_or(limits, "connect-timeout-ms", 0);
+    terms.connections_rest = span_or(limits, "conn-idle-ms", 0);
+    terms.release_within = span_or(family_info, "release-ms", 1000);
+    terms.start_capacity = number_or(safety, "start-capacity", 1);
+    terms.tip_multiple = number_or(safety, "tip-multiple", 1);
+    terms.fall = span_or(safety, "fall-ms", 0);
+    terms.warm_within = span_or(safety, "warm-within-ms", 0);
+    return terms;
 }
 
-Links read_links(const Json& env) {
-    const Json& limits = object_or_empty(env, "limits");
-    Links links;
-    links.idle = span_or(limits, "conn-idle-ms", 0);
-    links.most_held = number_or(limits, "most-held", 0);
-    for (const Json& profile : list_or_empty(env, "profiles"))
-        links.longest_wait = std::max(links.longest_wait, span_or(profile, "deadline-ms", 0));
-    return links;
+ConnectionSettings read_connection_settings(const Json& settings) {
+    const Json& limits = object_or_empty(settings, "limits");
+    ConnectionSettings connections;
+    connections.idle = span_or(limits, "conn-idle-ms", 0);
+    connections.max_waiting = number_or(limits, "most-held", 0);
+    for (const Json& profile : list_or_empty(settings, "profiles"))
+        connections.longest_deadline =
+            std::max(connections.longest_deadline, span_or(profile, "deadline-ms", 0));
+    return connections;
 }
 
 }  // namespace copperfront::platform
--- a/src/platform/settings.h
+++ b/src/platform/settings.h
@@ -1,5 +1,5 @@
-// The one reader of the settings object that the simulator and the platform hand over at a start: its terms
-// in our words. Free of I/O.
+// Reads the settings object that the simulator and the platform pass at start. No other code reads it. No
+// I/O.
 #pragma once
 
 #include "core/terms.h"
@@ -8,20 +8,20 @@
 
 namespace copperfront::platform {
 
-// Names of the settings in the order of their indices.
+// Names used in the settings, in the order of their indices.
 struct Named {
     Names zones, kinds, categories, groups;
 };
 
-// Throws BadInput. Names that are new are added; those that were known keep their indices.
-Terms read_terms(const Json& env, Named& named);
+// Throws BadInput. New names are added to `names`; known ones keep their indices.
+Terms read_terms(const Json& settings, Named& names);
 
-// What concerns connections alone. 0: not told.
-struct Links {
-    Span idle;  // a server closes a connection that idle
-    double most_held = 0;
-    Span longest_wait;  // of any category
+// Settings that concern only connections. 0: not configured.
+struct ConnectionSettings {
+    Span idle;  // a server closes a connection that has been idle for this long
+    double max_waiting = 0;
+    Span longest_deadline;  // longest of all categories
 };
-Links read_links(const Json& env);
+ConnectionSettings read_connection_settings(const Json& settings);
 
 }  // namespace copperfront::platform
--- a/tests/logging/log_test.cpp
+++ b/tests/logging/log_test.cpp
@@ -1,4 +1,4 @@
-// The log where standard error is a pipe.
+// Logging to standard error when it is a pipe, a full device or closed.
 #include "logging/log.h"
 
 #include <fcntl.h>
@@ -18,12 +18,12 @@
 namespace copperfront {
 namespace {
 
-constexpr std::chrono::seconds kPatience{5};
+constexpr std::chrono::seconds kTimeout{5};
 
-// Standard error is a pipe that is read on command, until this ends.
+// Replaces standard error by a pipe that is read on request, for the lifetime of the object.
 class PipedStandardError {
   public:
-    PipedStandardError() : before_(dup(STDERR_FILENO)) {
+    PipedStandardError() : original_(dup(STDERR_FILENO)) {
         int ends[2];
         if (pipe(ends) != 0) std::abort();
         reader_ = ends[0];
@@ -32,14 +32,14 @@
         close(ends[1]);
     }
     ~PipedStandardError() {
-        dup2(before_, STDERR_FILENO);
-        close(before_);
+        dup2(original_, STDERR_FILENO);
+        close(original_);
         close_reader();
     }
     PipedStandardError(const PipedStandardError&) = delete;
     PipedStandardError& operator=(const PipedStandardError&) = delete;
 
-    // All that lies in the pipe.
+    // Returns all bytes in the pipe.
     std::string read_all() {
         std::string text;
         char part[65536];
@@ -54,46 +54,46 @@
     }
 
   private:
-    int before_, reader_ = -1;
+    int original_, reader_ = -1;
 };
 
 Log log_to_standard_error() { return Log("info", "json", "", 1 << 20, 1); }
 
-// Whether the lines are written, or left out, without a wait. A writer that waits is let go by reading.
-bool writes_without_waiting(PipedStandardError& pipe, Log& log, int lines, std::size_t bytes) {
+// Returns whether the lines are written or dropped without blocking. A blocked writer is released by reading.
+bool writes_without_blocking(PipedStandardError& pipe, Log& log, int lines, std::size_t bytes) {
     auto writing = std::async(std::launch::async, [&] {
         for (int n = 0; n < lines; ++n) log.say(Weight::info, "test", std::string(bytes, 'x'));
     });
-    bool waited = false;
-    while (writing.wait_for(waited ? std::chrono::milliseconds(10) : kPatience) !=
+    bool blocked = false;
+    while (writing.wait_for(blocked ? std::chrono::milliseconds(10) : kTimeout) !=
            std::future_status::ready) {
-        waited = true;
+        blocked = true;
         pipe.read_all();
     }
-    return !waited;
+    return !blocked;
 }
 
-std::vector<nlohmann::json> whole_lines(const std::string& text) {
+std::vector<nlohmann::json> complete_lines(const std::string& text) {
     std::vector<nlohmann::json> lines;
     std::istringstream stream(text);
     for (std::string line; std::getline(stream, line);) {
-        nlohmann::json read = nlohmann::json::parse(line, nullptr, false);
-        if (!read.is_discarded()) lines.push_back(std::move(read));
+        nlohmann::json json = nlohmann::json::parse(line, nullptr, false);
+        if (!json.is_discarded()) lines.push_back(std::move(json));
     }
     return lines;
 }
 
-// Against a gateway that stands still once whoever reads its log has stopped.
-TEST(LogToAPipe, ThatNobodyReadsHoldsUpNobodyAndTellsHowManyLinesAreMissing) {
+// Guards against a gateway that blocks once the reader of its log has stopped.
+TEST(LogToAPipe, DoesNotBlockWithoutAReaderAndReportsDroppedLines) {
     for (const std::size_t bytes : {100u, 3000u, 9000u}) {
         constexpr int kLines = 2000;
         PipedStandardError pipe;
         Log log = log_to_standard_error();
-        ASSERT_TRUE(writes_without_waiting(pipe, log, kLines, bytes));
-        const std::size_t written = whole_lines(pipe.read_all()).size();
+        ASSERT_TRUE(writes_without_blocking(pipe, log, kLines, bytes));
+        const std::size_t written = complete_lines(pipe.read_all()).size();
         EXPECT_GT(written, 0u);
         log.say(Weight::info, "test", "it is read again");
-        const std::vector<nlohmann::json> lines = whole_lines(pipe.read_all());
+        const std::vector<nlohmann::json> lines = complete_lines(pipe.read_all());
         ASSERT_EQ(lines.size(), 2u);
         EXPECT_EQ(lines[0]["what"], "log lines could not be written");
         EXPECT_EQ(lines[0]["lines"], kLines - static_cast<std::int64_t>(written));
@@ -101,28 +101,28 @@
     }
 }
 
-// Against an error of the log that ends the process, or its requests.
-TEST(LogToAPipe, WhoseReaderHasGoneIsLeftOut) {
+// Guards against an error of the log that ends the process or its requests.
+TEST(LogToAPipe, DropsLinesAfterTheReaderHasClosed) {
     signal(SIGPIPE, SIG_IGN);
     PipedStandardError pipe;
     Log log = log_to_standard_error();
     pipe.close_reader();
-    EXPECT_TRUE(writes_without_waiting(pipe, log, 10, 100));
+    EXPECT_TRUE(writes_without_blocking(pipe, log, 10, 100));
 }
 
-// The same for a folder without room.
-TEST(LogToAFullDevice, IsLeftOut) {
+// The same for a full file system.
+TEST(LogToAFullDevice, DropsLines) {
     PipedStandardError pipe;
     const int full = open("/dev/full", O_WRONLY);
     ASSERT_GE(full, 0);
     dup2(full, STDERR_FILENO);
     close(full);
     Log log = log_to_standard_error();
-    EXPECT_TRUE(writes_without_waiting(pipe, log, 10, 100));
+    EXPECT_TRUE(writes_without_blocking(pipe, log, 10, 100));
 }
 
-// Against log lines that are written into whatever connection has the number of standard error.
-TEST(StandardStreams, ThatAreClosedAtTheStartAreOpenedBeforeAnythingElse) {
+// Guards against log lines written into a connection that has the descriptor of standard error.
+TEST(StandardStreams, ClosedAtStartAreOpenedBeforeAnythingElse) {
     const pid_t child = fork();
     if (child == 0) {
         for (const int stream : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) close(stream);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -1,4 +1,4 @@
-// The event loop's figures of its own events.
+// The event loop's statistics of its longest events.
 #include "net/loop.h"
 
 #include <gtest/gtest.h>
@@ -19,8 +19,9 @@
     return {std::int64_t{at.tv_sec} * 1000000 + at.tv_nsec / 1000};
 }
 
-// Against a machine that holds the process up and is taken for a loop with too much work, or the reverse.
-TEST(LoopFigures, TellAPauseOfTheProcessFromItsOwnWork) {
+// Guards against mistaking a pause of the process by the machine for too much work in the loop, or the
+// reverse.
+TEST(LoopStatistics, DistinguishAPauseOfTheProcessFromItsOwnWork) {
     Loop loop;
     {
         const Loop::Event event(loop, "pause");
@@ -41,8 +42,8 @@
     EXPECT_EQ(none.cpu.us, 0);
 }
 
-// Against work that is lost from the figures where one event begins within another.
-TEST(LoopFigures, CountAnInnerEventAsPartOfTheOuterOne) {
+// Guards against work missing from the statistics when one event starts within another.
+TEST(LoopStatistics, CountAnInnerEventAsPartOfTheOuterOne) {
     Loop loop;
     {
         const Loop::Event outer(loop, "outer");
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -1,4 +1,4 @@
-// Streams of bytes at the edges of what the system tells about a connection.
+// Byte streams in the less common states of a connection.
 #include "net/stream.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 namespace copperfront {
 namespace {
 
-// Takes one connection and keeps what comes on it.
+// Accepts one connection and stores the bytes received on it.
 struct Receiver : Stream::Owner {
     Loop loop;
     std::unique_ptr<Stream> stream;
-    std::string heard;
+    std::string received;
     std::optional<Closing> closed;
     Listener listener{loop, Address::parse("127.0.0.1:0"), [this](int fd) {
                           stream = Stream::accepted(loop, fd, {0, 0}, *this);
@@ -25,7 +25,7 @@
     ~Receiver() override { Stream::hand_off(loop, std::move(stream), false); }
     void bytes_came(Stream& s) override {
         while (s.held() > 0) {
-            heard.append(s.front());
+            received.append(s.front());
             s.drain(s.front().size());
         }
     }
@@ -34,15 +34,15 @@
         loop.stop();
     }
     void run_until_closed() {
-        Timer patience(loop, [this] { loop.stop(); });
-        patience.set(Span{5000000});
+        Timer timeout(loop, [this] { loop.stop(); });
+        timeout.set(Span{5000000});
         loop.run();
     }
 };
 
-// Against an answer without a length that is cut by a reset and taken for whole: the system tells a reset
-// once, and then an end.
-TEST(Stream, ResetBehindManyBytesIsNoOrderlyEnd) {
+// Guards against accepting a response without a length as complete although a reset truncated it: the system
+// reports a reset only once, and an end of stream afterwards.
+TEST(Stream, ResetAfterManyBytesIsNotAnOrderlyClose) {
     for (const std::size_t bytes : {std::size_t{100}, std::size_t{20000}}) {
         Receiver receiver;
         RawClient peer(receiver.listener.address());
@@ -54,7 +54,7 @@
     }
 }
 
-TEST(Stream, EndBehindManyBytesIsAnOrderlyEnd) {
+TEST(Stream, CloseAfterManyBytesIsAnOrderlyClose) {
     Receiver receiver;
     RawClient peer(receiver.listener.address());
     peer.say(std::string(20000, 'x'));
@@ -62,10 +62,10 @@
     receiver.run_until_closed();
     ASSERT_TRUE(receiver.closed.has_value());
     EXPECT_EQ(*receiver.closed, Closing::peer_ended);
-    EXPECT_EQ(receiver.heard.size(), 20000u);
+    EXPECT_EQ(receiver.received.size(), 20000u);
 }
 
-// Answers each message with so many bytes.
+// Answers each message with `reply_bytes` bytes.
 struct Replier : Stream::Owner {
     Loop loop;
     const std::size_t reply_bytes;
@@ -94,8 +94,9 @@
     }
 };
 
-// Against an answer that waits for another turn of the loop, behind whatever else that turn brings.
-TEST(Stream, WhatIsSentWithinAnEventIsWrittenByItsEnd) {
+// Guards against a response that is written only in the next turn of the loop, after the other work of that
+// turn.
+TEST(Stream, BytesSentWithinAnEventAreWrittenByItsEnd) {
     Replier replier(1000);
     RawClient peer(replier.listener.address());
     peer.say("x");
@@ -106,7 +107,7 @@
     EXPECT_EQ(peer.heard(), std::string(500, 'a') + std::string(500, 'b'));
 }
 
-TEST(Stream, WhatTheSystemHasNoRoomForFollowsInOrder) {
+TEST(Stream, BytesBeyondTheSocketBufferFollowInOrder) {
     constexpr std::size_t kBytes = 32 << 20;
     Replier replier(kBytes);
     RawClient peer(replier.listener.address());
@@ -120,8 +121,8 @@
     EXPECT_EQ(replier.times_all_sent, 1);
 }
 
-// An attempt that is taken back counts as never sent, so that another one may follow.
-TEST(Stream, WhatIsDroppedWithinTheEventThatSentItNeverLeaves) {
+// A withdrawn attempt counts as never sent, so that another one may follow.
+TEST(Stream, BytesDroppedWithinTheEventThatSentThemAreNeverWritten) {
     for (const bool reset : {true, false}) {
         Replier replier(10);
         RawClient peer(replier.listener.address());
@@ -130,7 +131,7 @@
         ASSERT_TRUE(replier.stream);
         {
             const Loop::Event event(replier.loop, "test");
-            replier.stream->send("taken back");
+            replier.stream->send("withdrawn");
             if (reset)
                 Stream::reset(replier.loop, std::move(replier.stream));
             else
@@ -141,8 +142,9 @@
     }
 }
 
-// Against a call of the system for each piece of a flood, which leaves a busy loop no time for the others.
-TEST(Stream, PiecesOfAFloodGoOutTogether) {
+// Guards against one system call per piece when many are sent, which leaves a busy loop no time for other
+// connections.
+TEST(Stream, ManySmallPiecesAreWrittenTogether) {
     constexpr int kPieces = 200;
     Replier replier(10);
     RawClient peer(replier.listener.address());
@@ -156,8 +158,8 @@
     EXPECT_LE(replier.times_all_sent, 5);
 }
 
-// The system tells a reset once, and the write may be the one that is told.
-TEST(Stream, ResetThatAWriteMeetsIsNoOrderlyEnd) {
+// The system reports a reset only once, possibly to the write.
+TEST(Stream, ResetDetectedByAWriteIsNotAnOrderlyClose) {
     Replier replier(100);
     RawClient peer(replier.listener.address());
     peer.say("x");
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's JSON and headers in our words, and a clear word for what is wrong with them.
+// Parsing of the platform's JSON and headers, and the errors for malformed input.
 #include <cassert>
 #include <cstdio>
 #include <functional>
@@ -24,20 +24,20 @@
  "realms":[{"name":"acme","quota-per-s":5}],"quantum-ms":4,"unheard-of":{"a":[1]},
  "safety":{"fall-ms":3000,"tip-multiple":2.5,"start-capacity":0.3,"warm-within-ms":14000}})";
 
-const std::string kKnown =
+const std::string kKnownList =
     R"({"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:8081","zone":"north","type":"r",
   "group":3,"status":"up","weight":1.0,"since_ms":1700000000123},{"name":"s-2","address":"127.0.0.1:8082",
   "zone":"south","type":"w","group":4,"status":"draining","since_ms":0}]})";
 
-std::string file(const std::string& settings = kSettings, const std::string& known = kKnown) {
+std::string configuration(const std::string& settings = kSettings, const std::string& known = kKnownList) {
     return R"({"name":"n1","listen":"127.0.0.1:0","seed":"8c1f","limits":{"cores":1.0,"memory_mb":64,"sockets":256},)"
            R"("known":)" +
            known + R"(,"settings":)" + settings + "}";
 }
 
-std::string nothing(const char*) { return ""; }
+std::string empty_environment(const char*) { return ""; }
 
-std::string wrong(const std::function<void()>& what) {
+std::string error_of(const std::function<void()>& what) {
     try {
         what();
     } catch (const BadInput& bad) {
@@ -46,8 +46,8 @@
     return "";
 }
 
-void settings_become_terms() {
-    const NodeTerms t = read_node_terms(file(), [](const char* name) {
+void settings_are_read_into_terms() {
+    const NodeTerms t = read_node_terms(configuration(), [](const char* name) {
         return std::string(name) == "ROUTER_DISCOVERY" ? "127.0.0.1:9" : "else";
     });
     assert(t.name == "n1" && t.listen == "127.0.0.1:0" && t.discovery == "127.0.0.1:9");
@@ -59,60 +59,60 @@
     assert(t.core.max_attempts == 6 && t.core.max_stay_away.us == 1000000 && t.core.cancel && !t.core.probes);
     assert(t.core.warm_within.us == 14000000 && t.core.quantum.us == 4000);
     assert(t.links.idle.us == 15000000 && t.core.connect_within.us == 250000 &&
-           t.links.longest_wait.us == 6000000);
+           t.links.longest_deadline.us == 6000000);
     const News known = read_known_list(t);
     assert(known.whole && known.index == 41 && known.entries.size() == 2);
     assert(known.entries[0].born.us == 1700000000123000 && known.entries[0].cell == "3");
     assert(known.entries[1].standing == Standing::draining);
 }
 
-void what_is_wrong_with_a_file_is_told() {
-    const std::string good = file();
-    const auto told = [](const std::string& text) {
-        return wrong([&] { read_known_list(read_node_terms(text, nothing)); });
+void malformed_files_are_rejected_with_a_reason() {
+    const std::string good = configuration();
+    const auto error_text = [](const std::string& text) {
+        return error_of([&] { read_known_list(read_node_terms(text, empty_environment)); });
     };
-    assert(told(good).empty());
-    assert(told("").find("JSON") != std::string::npos);
-    assert(told("{").find("JSON") != std::string::npos);
-    assert(told("[]").find("object") != std::string::npos);
-    assert(told("{}").find("listen") != std::string::npos);
-    assert(told(R"({"listen":"127.0.0.1:0"})").find("settings") != std::string::npos);
-    assert(told(file("{}")).find("models") != std::string::npos);
-    assert(told(file(R"({"models":["r"]})")).find("profiles") != std::string::npos);
-    assert(told(file(R"({"models":"r"})")).find("models") != std::string::npos);
-    assert(told(file(R"({"models":["r"],"profiles":[{"name":"a","target-ms":"soon"}]})")).find("target-ms") !=
+    assert(error_text(good).empty());
+    assert(error_text("").find("JSON") != std::string::npos);
+    assert(error_text("{").find("JSON") != std::string::npos);
+    assert(error_text("[]").find("object") != std::string::npos);
+    assert(error_text("{}").find("listen") != std::string::npos);
+    assert(error_text(R"({"listen":"127.0.0.1:0"})").find("settings") != std::string::npos);
+    assert(error_text(configuration("{}")).find("models") != std::string::npos);
+    assert(error_text(configuration(R"({"models":["r"]})")).find("profiles") != std::string::npos);
+    assert(error_text(configuration(R"({"models":"r"})")).find("models") != std::string::npos);
+    assert(error_text(configuration(R"({"models":["r"],"profiles":[{"name":"a","target-ms":"soon"}]})"))
+               .find("target-ms") != std::string::npos);
+    assert(error_text(configuration(R"({"models":["r"],"family-info":{"role-by-kind":["cook"]}})"))
+               .find("cook") != std::string::npos);
+    assert(error_text(configuration(kSettings, R"({"index":-1})")).find("known: not a whole number: index") !=
            std::string::npos);
-    assert(told(file(R"({"models":["r"],"family-info":{"role-by-kind":["cook"]}})")).find("cook") !=
+    assert(error_text(configuration(kSettings, R"({"index":1,"endpoints":[{"name":"a"}]})")).find("status") !=
            std::string::npos);
-    assert(told(file(kSettings, R"({"index":-1})")).find("known: not a whole number: index") !=
-           std::string::npos);
-    assert(told(file(kSettings, R"({"index":1,"endpoints":[{"name":"a"}]})")).find("status") !=
-           std::string::npos);
-    // Cut anywhere, it is refused and nothing worse.
-    for (std::size_t cut = 0; cut < good.size(); cut += 3) assert(!told(good.substr(0, cut)).empty());
+    // A file truncated at any position is rejected.
+    for (std::size_t cut = 0; cut < good.size(); cut += 3) assert(!error_text(good.substr(0, cut)).empty());
 }
 
-void terms_may_grow_but_not_change_their_meaning() {
-    const NodeTerms now = read_node_terms(file(), nothing);
+void a_reload_may_append_names_but_not_change_them() {
+    const NodeTerms now = read_node_terms(configuration(), empty_environment);
     assert(stands_against(now, now).empty());
     std::string grown = kSettings, swapped = kSettings, roles = kSettings;
     grown.replace(grown.find(R"("realms":[)"), 10,
                   R"("realms":[{"name":"acme","quota-per-s":9},{"name":"x"}],"r":[)");
-    assert(stands_against(now, read_node_terms(file(grown), nothing)).empty());
+    assert(stands_against(now, read_node_terms(configuration(grown), empty_environment)).empty());
     swapped.replace(swapped.find(R"("models":["r","w"])"), 18, R"("models":["w","r"])");
-    assert(!stands_against(now, read_node_terms(file(swapped), nothing)).empty());
+    assert(!stands_against(now, read_node_terms(configuration(swapped), empty_environment)).empty());
     roles.replace(roles.find(R"(["read","write"])"), 16, R"(["write","read"])");
-    assert(!stands_against(now, read_node_terms(file(roles), nothing)).empty());
+    assert(!stands_against(now, read_node_terms(configuration(roles), empty_environment)).empty());
 }
 
-// In pieces of so many bytes.
+// Parses the list in pieces of `piece` bytes.
 News read_list(std::string_view text, std::size_t piece) {
     ListReader reader;
     for (std::size_t at = 0; at < text.size(); at += piece) reader.take(text.substr(at, piece));
     return reader.finish();
 }
 
-void lists_are_read_whole_or_not_at_all() {
+void malformed_lists_are_rejected_as_a_whole() {
     const char* const kRemoved = R"({"index":2,"endpoints":[{"name":"a","status":"removed"}]})";
     const News removed = read_list(kRemoved, 1000);
     assert(!removed.whole && removed.entries[0].standing == Standing::gone);
@@ -140,21 +140,21 @@
           "}{",
           R"({"index":1,"endpoints":[{"name":"a","status":"removed"}],"endpoints":[]})"})
         for (const std::size_t piece : {std::size_t{1000}, std::size_t{1}})
-            assert(!wrong([&] { read_list(bad, piece); }).empty());
+            assert(!error_of([&] { read_list(bad, piece); }).empty());
 }
 
-void one_member_is_taken_out_of_an_object() {
+void a_member_is_extracted_from_an_object() {
     const JsonMember member =
-        take_member(R"( {"a": "}\"known\":", "b":{"known":1}, "known" : [{"x":"]"}] , "c":2})", "known");
+        extract_member(R"( {"a": "}\"known\":", "b":{"known":1}, "known" : [{"x":"]"}] , "c":2})", "known");
     assert(member.value == R"([{"x":"]"}])");
     assert(member.rest == R"( {"a": "}\"known\":", "b":{"known":1}, "known" : null , "c":2})");
     for (const char* none : {"", "{", "[]", R"({"a":1})", R"({"known")", R"({"known":)"})
-        assert(take_member(none, "known").value.empty());
-    assert(take_member(R"({"known":7})", "known").value == "7");
+        assert(extract_member(none, "known").value.empty());
+    assert(extract_member(R"({"known":7})", "known").value == "7");
 }
 
-// Strings may hold what looks like structure, and a list may be indented.
-void lists_in_odd_forms_are_read_in_pieces_of_any_size() {
+// Strings may contain structural characters, and a list may be indented.
+void unusual_lists_are_parsed_from_pieces_of_any_size() {
     const std::string text = R"( { "more" : { "endpoints" : [ {"x": 1} ], "y" : "]}{[\"" },
   "endpoints" : [
     { "name" : "a]}", "status" : "up", "address" : "1.2.3.4:5", "group" : 3, "more" : [ { } ] } ,
@@ -177,7 +177,7 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-const Fields kCall = {
+const Fields kRequestHeaders = {
     {"x-correlation-id", "9b1f"}, {"X-Service-Class", "help"},
     {"X-Account", "acme"},        {"X-Session-Key", "7f3a"},
     {"X-Time-Left-Ms", "4800"},   {"X-Facts", "prefix=5c0f,prompt_len=20,prefix_len=8,max_out=800,else=x"},
@@ -185,43 +185,46 @@
 const std::string kBody =
     R"({"model":"chat","stream":true,"messages":[{"role":"user","content":"hello there"}]})";
 
-Fields with(const char* name, const char* value) {
-    Fields fields = kCall;
-    for (auto& [known, v] : fields)
-        if (http::alike(known, name)) v = value;
+Fields with_header(const char* name, const char* value) {
+    Fields fields = kRequestHeaders;
+    for (auto& [candidate, current] : fields)
+        if (http::equals_ignoring_case(candidate, name)) current = value;
     return fields;
 }
 
-Fields without(const char* name) {
-    Fields fields = kCall;
-    std::erase_if(fields, [&](const auto& f) { return http::alike(f.first, name); });
+Fields without_header(const char* name) {
+    Fields fields = kRequestHeaders;
+    std::erase_if(fields, [&](const auto& f) { return http::equals_ignoring_case(f.first, name); });
     return fields;
 }
 
-void headers_become_an_arrival() {
-    const Named named = read_node_terms(file(), nothing).named;
-    Call call;
-    assert(read_call(head_of(kCall), kBody, named, call).empty());
-    assert(call.id == "9b1f" && call.facts.category == 0 && call.facts.client_group == 0 && !call.again);
-    assert(call.facts.budget.us == 4800000 && call.facts.hint.us == 1500);
-    assert(call.facts.prompt_tokens == 20 && call.facts.beginning_tokens == 8 &&
-           call.facts.most_tokens == 800);
-    assert(call.facts.session == mark("7f3a") && call.facts.beginning == mark("5c0f"));
-    // An account that is not in the settings has no share; a prompt without a shared opening has none.
-    assert(read_call(head_of(with("X-Account", "unheard")), kBody, named, call).empty());
-    assert(call.facts.client_group == -1);
-    assert(read_call(head_of(with("X-Facts", "prompt_len=20,max_out=8")), kBody, named, call).empty());
-    assert(call.facts.beginning == 0 && call.facts.beginning_tokens == 0);
-    Fields again = kCall;
-    again.emplace_back("X-Repeat", "1");
-    assert(read_call(head_of(again), kBody, named, call).empty() && call.again);
+void headers_are_parsed_into_request_facts() {
+    const Named names = read_node_terms(configuration(), empty_environment).named;
+    Call request;
+    assert(read_call(head_of(kRequestHeaders), kBody, names, request).empty());
+    assert(request.id == "9b1f" && request.facts.category == 0 && request.facts.client_group == 0 &&
+           !request.again);
+    assert(request.facts.budget.us == 4800000 && request.facts.hint.us == 1500);
+    assert(request.facts.prompt_tokens == 20 && request.facts.beginning_tokens == 8 &&
+           request.facts.most_tokens == 800);
+    assert(request.facts.session == mark("7f3a") && request.facts.beginning == mark("5c0f"));
+    // An account that is not in the settings has no client group; a prompt without a shared prefix has none.
+    assert(read_call(head_of(with_header("X-Account", "unheard")), kBody, names, request).empty());
+    assert(request.facts.client_group == -1);
+    assert(
+        read_call(head_of(with_header("X-Facts", "prompt_len=20,max_out=8")), kBody, names, request).empty());
+    assert(request.facts.beginning == 0 && request.facts.beginning_tokens == 0);
+    Fields repeat = kRequestHeaders;
+    repeat.emplace_back("X-Repeat", "1");
+    assert(read_call(head_of(repeat), kBody, names, request).empty() && request.again);
 }
 
-void a_call_that_cannot_be_read_is_told_so() {
-    const Named named = read_node_terms(file(), nothing).named;
-    Call call;
+void malformed_requests_are_rejected_with_a_reason() {
+    const Named names = read_node_terms(configuration(), empty_environment).named;
+    Call request;
     for (const char* name : {"X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms", "X-Facts"})
-        assert(read_call(head_of(without(name)), kBody, named, call).find(name) != std::string::npos);
+        assert(read_call(head_of(without_header(name)), kBody, names, request).find(name) !=
+               std::string::npos);
     const std::pair<const char*, const char*> bad[] = {{"X-Correlation-Id", ""},
                                                        {"X-Correlation-Id", "a/b"},
                                                        {"X-Correlation-Id", "a b"},
@@ -242,47 +245,48 @@
                                                        {"X-Facts", "prompt_len=2,prompt_len=3"},
                                                        {"X-Facts", "prompt_len=2,prefix_len=3"}};
     for (const auto& [name, value] : bad) {
-        const std::string told = read_call(head_of(with(name, value)), kBody, named, call);
-        if (told.find(name) == std::string::npos)
-            std::fprintf(stderr, "%s: %s taken: %s\n", name, value, told.c_str());
-        assert(told.find(name) != std::string::npos);
+        const std::string error_text = read_call(head_of(with_header(name, value)), kBody, names, request);
+        if (error_text.find(name) == std::string::npos)
+            std::fprintf(stderr, "%s: %s: unexpected error text: %s\n", name, value, error_text.c_str());
+        assert(error_text.find(name) != std::string::npos);
     }
-    assert(!read_call(head_of(with("X-Correlation-Id", std::string(200, 'a').c_str())), kBody, named, call)
+    assert(!read_call(head_of(with_header("X-Correlation-Id", std::string(200, 'a').c_str())), kBody, names,
+                      request)
                 .empty());
-    Fields twice = kCall;
+    Fields twice = kRequestHeaders;
     twice.emplace_back("X-Correlation-Id", "other");
-    assert(!read_call(head_of(twice), kBody, named, call).empty());
-    // Bodies on which a model server would close its connection.
+    assert(!read_call(head_of(twice), kBody, names, request).empty());
+    // A model server would close its connection on these bodies.
     for (const std::string body : {"", "hello", "[]", "{}", R"({"messages":)", R"({"messages":[]} x)",
                                    "{\"messages\":[\"\xff\xfe\"]}"})
-        assert(!read_call(head_of(with("X-Facts", "prompt_len=0")), body, named, call).empty());
+        assert(!read_call(head_of(with_header("X-Facts", "prompt_len=0")), body, names, request).empty());
     std::string deep = R"({"messages":)";
     for (int n = 0; n < 5000; ++n) deep += '[';
-    assert(!read_call(head_of(kCall), deep, named, call).empty());
+    assert(!read_call(head_of(kRequestHeaders), deep, names, request).empty());
 }
 
-http::Head answer(int status, const Fields& fields = {}) {
+http::Head response(int status, const Fields& fields = {}) {
     http::Head head = head_of(fields);
     head.status = status;
     return head;
 }
 
-void answers_become_outcomes() {
-    const Fields never = {{"x-unprocessed", "1"}};
-    const Outcome read = outcome_of(answer(202), R"({"cached_tokens":4096})", true);
-    assert(read.ending == Ending::read && read.kept_tokens == 4096);
-    assert(outcome_of(answer(202), "{", true).ending == Ending::read);
-    assert(outcome_of(answer(202), R"({"cached_tokens":"x"})", true).kept_tokens == 0);
-    assert(outcome_of(answer(202), R"({"cached_tokens":4096})", false).ending == Ending::error);
-    assert(outcome_of(answer(503, never), "", true).ending == Ending::full);
-    assert(outcome_of(answer(504, never), "", false).ending == Ending::full);
-    assert(!outcome_of(answer(503, never), "", false).no_state);
-    // Without the mark it may have run.
+void responses_are_mapped_to_outcomes() {
+    const Fields unprocessed = {{"x-unprocessed", "1"}};
+    const Outcome prefill = outcome_of(response(202), R"({"cached_tokens":4096})", true);
+    assert(prefill.ending == Ending::read && prefill.kept_tokens == 4096);
+    assert(outcome_of(response(202), "{", true).ending == Ending::read);
+    assert(outcome_of(response(202), R"({"cached_tokens":"x"})", true).kept_tokens == 0);
+    assert(outcome_of(response(202), R"({"cached_tokens":4096})", false).ending == Ending::error);
+    assert(outcome_of(response(503, unprocessed), "", true).ending == Ending::full);
+    assert(outcome_of(response(504, unprocessed), "", false).ending == Ending::full);
+    assert(!outcome_of(response(503, unprocessed), "", false).no_state);
+    // Without the X-Unprocessed header the request may have run.
     for (const int status : {200, 400, 404, 410, 500, 503, 504})
-        assert(outcome_of(answer(status), "", false).ending == Ending::error);
-    const Outcome no_state = outcome_of(answer(410, never), "", false);
+        assert(outcome_of(response(status), "", false).ending == Ending::error);
+    const Outcome no_state = outcome_of(response(410, unprocessed), "", false);
     assert(no_state.ending == Ending::full && no_state.no_state);
-    http::Head stream = answer(200, {{"Content-Type", "text/event-stream; charset=utf-8"}});
+    http::Head stream = response(200, {{"Content-Type", "text/event-stream; charset=utf-8"}});
     assert(!begins_stream(stream));
     stream.chunked = true;
     assert(begins_stream(stream));
@@ -290,7 +294,7 @@
     assert(!begins_stream(stream));
 }
 
-void streams_are_cut_into_whole_events() {
+void streams_are_split_into_complete_events() {
     const std::string good =
         "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n: a comment\n\ndata: "
         "{\"choices\":[]}\r\n\r\ndata: [DONE]\n\n";
@@ -307,36 +311,36 @@
     }
     std::string piece;
     std::size_t count = 0;
-    // The first of two counts, what is no event does not, nor anything behind the end.
-    for (const char* spoilt : {"data: {}\n\n1a\r\ndata: {}\n\n", "data: {}\n\nnoise\n\n",
-                               "data: {}\n\ndata: x\n\n", "data: {}\n\ndata: {\"cut\n\n"}) {
+    // The first event counts; malformed input after it does not, nor does anything after the end.
+    for (const char* malformed : {"data: {}\n\n1a\r\ndata: {}\n\n", "data: {}\n\nnoise\n\n",
+                                  "data: {}\n\ndata: x\n\n", "data: {}\n\ndata: {\"cut\n\n"}) {
         Events events;
-        assert(!events.take(spoilt, piece, count));
+        assert(!events.take(malformed, piece, count));
         assert(piece == "data: {}\n\n" && count == 1);
     }
-    Events behind;
-    assert(behind.take("data: [DONE]\n\n", piece, count) && behind.finished());
-    assert(!behind.take("data: {}\n\n", piece, count));
+    Events completed;
+    assert(completed.take("data: [DONE]\n\n", piece, count) && completed.finished());
+    assert(!completed.take("data: {}\n\n", piece, count));
     Events endless;
-    bool well = true;
-    for (int n = 0; n < 100 && well; ++n)
-        well = endless.take("data: " + std::string(1000, 'a'), piece, count);
-    assert(!well);
-    Events half;
-    assert(half.take("data: [DONE]\n", piece, count) && !half.finished());
+    bool valid = true;
+    for (int n = 0; n < 100 && valid; ++n)
+        valid = endless.take("data: " + std::string(1000, 'a'), piece, count);
+    assert(!valid);
+    Events unterminated;
+    assert(unterminated.take("data: [DONE]\n", piece, count) && !unterminated.finished());
 }
 
 }  // namespace
 
 int main() {
-    settings_become_terms();
-    what_is_wrong_with_a_file_is_told();
-    terms_may_grow_but_not_change_their_meaning();
-    lists_are_read_whole_or_not_at_all();
-    lists_in_odd_forms_are_read_in_pieces_of_any_size();
-    one_member_is_taken_out_of_an_object();
-    headers_become_an_arrival();
-    a_call_that_cannot_be_read_is_told_so();
-    answers_become_outcomes();
-    streams_are_cut_into_whole_events();
+    settings_are_read_into_terms();
+    malformed_files_are_rejected_with_a_reason();
+    a_reload_may_append_names_but_not_change_them();
+    malformed_lists_are_rejected_as_a_whole();
+    unusual_lists_are_parsed_from_pieces_of_any_size();
+    a_member_is_extracted_from_an_object();
+    headers_are_parsed_into_request_facts();
+    malformed_requests_are_rejected_with_a_reason();
+    responses_are_mapped_to_outcomes();
+    streams_are_split_into_complete_events();
 }
