--- a/tests/node/departed_client_test.cpp
+++ b/tests/node/departed_client_test.cpp
@@ -1,117 +1,122 @@
-// A client that has closed its connection has gone: whatever waited for it is not sent on. Its end lies in
-// the system when the gateway comes to the point at which it would send.
-#include "scripted_world.h"
+// Guards against sending requests of clients that have closed their connection. The close is already in the
+// socket, unread, when the gateway reaches the point at which it would send.
+#include "scripted_gateway_fixture.h"
 
 namespace copperfront {
 namespace {
 
-enum class End { closes, resets, ends_sending };
+enum class ClientClose { by_close, by_reset, by_half_close };
 
-class DepartedClient : public testing::TestWithParam<End> {
+class DisconnectedClient : public testing::TestWithParam<ClientClose> {
   protected:
-    static void go(RawClient& client) {
+    static void close_connection(RawClient& client) {
         switch (GetParam()) {
-            case End::closes:
+            case ClientClose::by_close:
                 return client.leave();
-            case End::resets:
+            case ClientClose::by_reset:
                 return client.reset();
-            case End::ends_sending:
-                return client.end_sending();
+            case ClientClose::by_half_close:
+                return client.half_close();
         }
     }
 };
 
-// Queued at admission, as no prefill server may be used; the list that ends the wait comes in the same
-// moment.
-TEST_P(DepartedClient, QueuedRequestIsNotSentOn) {
-    ScriptedWorld w;
-    w.platform.set("r1", "draining");
-    w.wait_for_list();
-    RawClient client(w.node->address());
-    client.say(w.call(w.fresh()));
-    w.until("it is queued", [&] { return w.node->desk().open_queries() == 1; });
-    go(client);
-    w.platform.set("r1", "up");
-    w.until("it is over", [&] { return w.node->desk().open_queries() == 0; });
-    w.pass(ms(50));
-    EXPECT_EQ(w.prefill.count("POST"), 0u);
+// The request is queued at admission, as no prefill server may be used; the list update that ends the wait
+// arrives at the same moment as the close.
+TEST_P(DisconnectedClient, QueuedRequestIsNotSent) {
+    ScriptedGatewayFixture fixture;
+    fixture.platform.set("r1", "draining");
+    fixture.wait_for_list();
+    RawClient client(fixture.node->address());
+    client.say(fixture.request_text(fixture.new_request_id()));
+    fixture.wait_until("the request is queued", [&] { return fixture.node->desk().open_queries() == 1; });
+    close_connection(client);
+    fixture.platform.set("r1", "up");
+    fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+    fixture.run_for(ms(50));
+    EXPECT_EQ(fixture.prefill.count("POST"), 0u);
 }
 
-// Its connection to the server comes up only after the client has gone.
-TEST_P(DepartedClient, DiallingRequestIsNotSent) {
-    ScriptedWorld w(with_setting(kSettings, R"("connect-timeout-ms":250)", R"("connect-timeout-ms":5000)"));
+// The connection to the server is established only after the client has closed its own.
+TEST_P(DisconnectedClient, RequestWaitingForItsConnectionIsNotSent) {
+    ScriptedGatewayFixture fixture(
+        with_setting(kSettings, R"("connect-timeout-ms":250)", R"("connect-timeout-ms":5000)"));
     StalledListener stalled;
-    w.platform.point("r1", stalled.address());
-    w.wait_for_list();
-    RawClient client(w.node->address());
-    client.say(w.call(w.fresh(), "4000"));
-    w.until("it waits for its connection", [&] { return w.node->upstreams().attempts() == 1; });
-    go(client);
+    fixture.platform.point("r1", stalled.address());
+    fixture.wait_for_list();
+    RawClient client(fixture.node->address());
+    client.say(fixture.request_text(fixture.new_request_id(), "4000"));
+    fixture.wait_until("the attempt waits for its connection",
+                       [&] { return fixture.node->upstreams().attempts() == 1; });
+    close_connection(client);
     stalled.accept_all();
-    w.until("it is over", [&] { return w.node->desk().open_queries() == 0; });
-    w.pass(ms(1300));
-    EXPECT_EQ(stalled.heard().find("POST "), std::string::npos);
+    fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+    fixture.run_for(ms(1300));
+    EXPECT_EQ(stalled.received().find("POST "), std::string::npos);
 }
 
-// The end of the read and the client's end come together: the state is released, and no attempt follows.
-TEST_P(DepartedClient, StateIsReleasedRatherThanHandedOver) {
-    ScriptedWorld w;
-    RawClient client(w.node->address());
-    client.say(w.call(w.fresh()));
-    const auto reading = w.wait_for_post(w.prefill, 1);
-    go(client);
-    w.prefill.send(reading, prefill_response());
+// The prefill's answer and the client's close arrive together: the state is released, and no attempt follows.
+TEST_P(DisconnectedClient, StateIsReleasedRatherThanHandedOver) {
+    ScriptedGatewayFixture fixture;
+    RawClient client(fixture.node->address());
+    client.say(fixture.request_text(fixture.new_request_id()));
+    const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
+    close_connection(client);
+    fixture.prefill.send(prefill_connection, prefill_response());
     std::size_t at_prefill = 0, at_decode = 0;
-    w.until("the state is released", [&] {
-        w.answer_releases(w.prefill, at_prefill);
-        w.answer_releases(w.decode, at_decode);
-        return w.prefill.count("DELETE") + w.decode.count("DELETE") > 0;
+    fixture.wait_until("the state is released", [&] {
+        fixture.answer_releases(fixture.prefill, at_prefill);
+        fixture.answer_releases(fixture.decode, at_decode);
+        return fixture.prefill.count("DELETE") + fixture.decode.count("DELETE") > 0;
     });
-    EXPECT_EQ(w.decode.count("POST"), 0u);
+    EXPECT_EQ(fixture.decode.count("POST"), 0u);
 }
 
-// Behind a request that has not been answered, more bytes than are kept.
-TEST_P(DepartedClient, EndBehindABacklogIsSeen) {
-    ScriptedWorld w;
-    RawClient client(w.node->address());
+// Behind the unanswered request there are more bytes than the gateway buffers.
+TEST_P(DisconnectedClient, CloseBehindABacklogIsNoticed) {
+    ScriptedGatewayFixture fixture;
+    RawClient client(fixture.node->address());
     std::string text;
-    for (int n = 0; n < 100; ++n) text += w.call(w.fresh());
+    for (int n = 0; n < 100; ++n) text += fixture.request_text(fixture.new_request_id());
     client.say(text);
-    const auto reading = w.wait_for_post(w.prefill, 1);
-    go(client);
-    w.until(
-        "it is over", [&] { return w.node->desk().open_queries() == 0; }, ms(100));
-    w.pass(ms(20));
-    if (w.prefill.is_open(reading)) w.prefill.send(reading, prefill_response());
-    w.pass(ms(50));
-    EXPECT_EQ(w.prefill.count("POST"), 1u);
-    EXPECT_EQ(w.decode.count("POST"), 0u);
+    const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
+    close_connection(client);
+    fixture.wait_until(
+        "the request has ended", [&] { return fixture.node->desk().open_queries() == 0; }, ms(100));
+    fixture.run_for(ms(20));
+    if (fixture.prefill.is_open(prefill_connection))
+        fixture.prefill.send(prefill_connection, prefill_response());
+    fixture.run_for(ms(50));
+    EXPECT_EQ(fixture.prefill.count("POST"), 1u);
+    EXPECT_EQ(fixture.decode.count("POST"), 0u);
 }
 
-// The loop is held up while the client closes behind further bytes, and then comes to the answers of servers
-// first or last: nothing is written for it, neither a hand-over nor a retry.
-TEST_P(DepartedClient, EndBehindBytesIsSeenThoughTheLoopWasHeldUp) {
+// The loop is blocked while the client sends further bytes and closes, and then handles the servers' answers
+// before or after the close: nothing is sent for that client, neither a hand-over nor a retry.
+TEST_P(DisconnectedClient, CloseBehindBytesIsNoticedAfterTheLoopWasBlocked) {
     for (const bool retry : {false, true}) {
-        ScriptedWorld w;
-        RawClient client(w.node->address());
-        client.say(w.call(w.fresh()));
-        const auto reading = w.wait_for_post(w.prefill, 1);
-        client.say(w.call(w.fresh()));
-        go(client);
+        ScriptedGatewayFixture fixture;
+        RawClient client(fixture.node->address());
+        client.say(fixture.request_text(fixture.new_request_id()));
+        const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
+        client.say(fixture.request_text(fixture.new_request_id()));
+        close_connection(client);
         if (retry) {
-            w.prefill.reset(reading);
+            fixture.prefill.reset(prefill_connection);
         } else {
-            w.prefill.send(reading, prefill_response());
+            fixture.prefill.send(prefill_connection, prefill_response());
         }
-        for (const Instant from = w.loop.now(); w.loop.now() - from < ms(150);) continue;
-        w.until("it is over", [&] { return w.node->desk().open_queries() == 0; });
-        w.pass(ms(100));
-        EXPECT_EQ(w.decode.count("POST"), 0u);
-        EXPECT_EQ(w.prefill.count("POST"), 1u);
+        for (const Instant from = fixture.loop.now(); fixture.loop.now() - from < ms(150);) continue;
+        fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+        fixture.run_for(ms(100));
+        EXPECT_EQ(fixture.decode.count("POST"), 0u);
+        EXPECT_EQ(fixture.prefill.count("POST"), 1u);
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, DepartedClient, testing::Values(End::closes, End::resets, End::ends_sending));
+INSTANTIATE_TEST_SUITE_P(Each, DisconnectedClient,
+                         testing::Values(ClientClose::by_close, ClientClose::by_reset,
+                                         ClientClose::by_half_close));
 
 }  // namespace
 }  // namespace copperfront
--- a/tests/node/forwarding_test.cpp
+++ b/tests/node/forwarding_test.cpp
@@ -1,19 +1,20 @@
-// What of a client's message reaches the model servers.
-#include "scripted_world.h"
+// Which header fields of a client's request reach the model servers.
+#include "scripted_gateway_fixture.h"
 
 namespace copperfront {
 namespace {
 
 TEST(Forwarding, EndToEndFieldsReachBothServersAndHopByHopOnesDoNot) {
-    ScriptedWorld w;
-    auto client = w.client();
-    client->say(w.call(w.fresh(), "2000",
-                       "Idempotency-Key: once-7\r\nX-Custom: kept\r\nConnection: X-Private, keep-alive\r\n"
-                       "X-Private: for the gateway\r\nKeep-Alive: 5\r\nTE: trailers\r\n"));
-    w.prefill.send(w.wait_for_post(w.prefill, 1), prefill_response());
-    w.wait_for_post(w.decode, 1);
-    for (const ScriptedServer* server : {&w.prefill, &w.decode}) {
-        const http::Head& head = w.last(*server).head;
+    ScriptedGatewayFixture fixture;
+    auto client = fixture.client();
+    client->say(fixture.request_text(
+        fixture.new_request_id(), "2000",
+        "Idempotency-Key: once-7\r\nX-Custom: kept\r\nConnection: X-Private, keep-alive\r\n"
+        "X-Private: for the gateway\r\nKeep-Alive: 5\r\nTE: trailers\r\n"));
+    fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
+    fixture.wait_for_post(fixture.decode, 1);
+    for (const ScriptedServer* server : {&fixture.prefill, &fixture.decode}) {
+        const http::Head& head = fixture.last_request(*server).head;
         for (const auto& [name, value] : {std::pair{"Idempotency-Key", "once-7"},
                                           {"X-Custom", "kept"},
                                           {"X-Service-Class", "help"},
--- a/tests/node/world.h
+++ b/tests/node/gateway_fixture.h
@@ -1,4 +1,4 @@
-// The gateway on the platform in one loop with stand-ins of its clients, model servers and discovery.
+// Test fixture: the HTTP gateway in one event loop with fake clients, model servers and discovery.
 #pragma once
 
 #include <cassert>
@@ -31,13 +31,13 @@
         [](const char*) { return std::string(); });
 }
 
-// A client that keeps all that it is sent.
+// A client that stores all bytes it receives.
 struct Client : Stream::Owner {
     Loop& loop;
     std::unique_ptr<Stream> stream;
-    std::string heard;
+    std::string received;
     bool closed = false;
-    Closing why = Closing::peer_ended;
+    Closing close_reason = Closing::peer_ended;
     Instant closed_at;
 
     Client(Loop& l, const Address& to) : loop(l) { stream = Stream::dial(l, to, {0, 0}, *this); }
@@ -45,40 +45,40 @@
     void stream_made(Stream&) override {}
     void bytes_came(Stream& s) override {
         while (s.held() > 0) {
-            heard.append(s.front());
+            received.append(s.front());
             s.drain(s.front().size());
         }
     }
-    void stream_closed(Stream&, Closing w, const std::string&) override {
+    void stream_closed(Stream&, Closing reason, const std::string&) override {
         closed = true;
-        why = w;
+        close_reason = reason;
         closed_at = loop.now();
     }
     void say(const std::string& text) { stream->send(text); }
     void leave() { Stream::hand_off(loop, std::move(stream), false); }
-    int status() const { return heard.size() < 12 ? 0 : std::atoi(heard.c_str() + 9); }
-    bool whole() const {
-        return heard.find("data: [DONE]\n\n") != std::string::npos &&
-               heard.find("\r\n0\r\n\r\n") != std::string::npos;
+    int status() const { return received.size() < 12 ? 0 : std::atoi(received.c_str() + 9); }
+    bool is_complete() const {
+        return received.find("data: [DONE]\n\n") != std::string::npos &&
+               received.find("\r\n0\r\n\r\n") != std::string::npos;
     }
-    std::size_t answers() const {
+    std::size_t response_count() const {
         std::size_t n = 0;
-        for (std::size_t at = 0; (at = heard.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++n;
+        for (std::size_t at = 0; (at = received.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++n;
         return n;
     }
 };
 
-struct World {
+struct GatewayFixture {
     Loop loop;
     Log log{"error", "json", "", 1 << 20, 1};
     standin::Platform platform;
     const std::string settings;
     std::unique_ptr<Node> node;
-    std::uint64_t next = 1;
+    std::uint64_t next_id = 1;
 
-    explicit World(std::size_t sockets = 256, standin::Platform::Shape shape = {},
-                   const std::string& with = kSettings)
-        : platform(loop, shape), settings(with) {
+    explicit GatewayFixture(std::size_t sockets = 256, standin::Platform::Shape shape = {},
+                            const std::string& node_settings = kSettings)
+        : platform(loop, shape), settings(node_settings) {
         platform.add("r1", Role::reader, "z", 1);
         platform.add("w1", Role::writer, "z", 1);
         start(sockets);
@@ -89,55 +89,59 @@
     }
     std::unique_ptr<Client> client() { return std::make_unique<Client>(loop, node->address()); }
 
-    // Runs the loop until it is so; a story that does not come to that is a fault.
-    template <class What>
-    void until(const char* wanted, What what, Span limit = ms(15000)) {
-        bool late = false;
-        Timer patience(loop, [&] {
-            late = true;
+    // Runs the loop until the condition holds; fails the test if it does not hold within the limit.
+    template <class Condition>
+    void wait_until(const char* description, Condition condition, Span limit = ms(15000)) {
+        bool timed_out = false;
+        Timer timeout(loop, [&] {
+            timed_out = true;
             loop.stop();
         });
-        patience.set(limit);
-        bool done = what();
-        while (!done && !late) {
-            Timer soon(loop, [&] {
-                done = what();
+        timeout.set(limit);
+        bool done = condition();
+        while (!done && !timed_out) {
+            Timer poll(loop, [&] {
+                done = condition();
                 loop.stop();
             });
-            soon.set(ms(2));
+            poll.set(ms(2));
             loop.run();
         }
-        if (!done) std::fprintf(stderr, "never came about: %s\n", wanted);
+        if (!done) std::fprintf(stderr, "condition not reached: %s\n", description);
         assert(done);
     }
-    void pass(Span span) {
+    void run_for(Span span) {
         const Instant end = loop.now() + span;
-        until(
-            "time", [&] { return loop.now() >= end; }, span + ms(5000));
+        wait_until(
+            "the time has passed", [&] { return loop.now() >= end; }, span + ms(5000));
     }
-    std::string call(const std::string& id, const std::string& left = "2000", const std::string& more = "") {
-        return call_with_content(id, "hello there", left, more);
+    std::string request_text(const std::string& id, const std::string& left = "2000",
+                             const std::string& extra_fields = "") {
+        return request_text_with_content(id, "hello there", left, extra_fields);
     }
-    std::string call_with_content(const std::string& id, const std::string& content,
-                                  const std::string& left = "2000", const std::string& more = "") {
+    std::string request_text_with_content(const std::string& id, const std::string& content,
+                                          const std::string& left = "2000",
+                                          const std::string& extra_fields = "") {
         const std::string body =
             R"({"model":"chat","stream":true,"messages":[{"role":"user","content":")" + content + R"("}]})";
         return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id +
                "\r\nX-Service-Class: help\r\nX-Account: acme\r\nX-Session-Key: s\r\nX-Time-Left-Ms: " + left +
-               "\r\nX-Facts: prompt_len=20,max_out=50\r\nContent-Type: application/json\r\n" + more +
+               "\r\nX-Facts: prompt_len=20,max_out=50\r\nContent-Type: application/json\r\n" + extra_fields +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    std::string fresh() { return "q" + std::to_string(next++); }
-    // One call to its end.
-    std::unique_ptr<Client> ask(const std::string& left = "2000") {
-        auto c = client();
-        c->say(call(fresh(), left));
-        until("an answer",
-              [&] { return c->closed || c->whole() || (c->status() != 0 && c->status() != 200); });
-        return c;
+    std::string new_request_id() { return "q" + std::to_string(next_id++); }
+    // Sends one request and waits for its final answer.
+    std::unique_ptr<Client> run_request(const std::string& left = "2000") {
+        auto sender = client();
+        sender->say(request_text(new_request_id(), left));
+        wait_until("an answer", [&] {
+            return sender->closed || sender->is_complete() ||
+                   (sender->status() != 0 && sender->status() != 200);
+        });
+        return sender;
     }
-    void at_rest() {
-        until("nothing open, out, owed or held", [&] {
+    void wait_until_idle() {
+        wait_until("no request open, no attempt in flight, no release owed, no state held", [&] {
             return node->desk().open_queries() == 0 && node->desk().attempts_out() == 0 &&
                    node->upstreams().owed() == 0 && node->upstreams().attempts() == 0 &&
                    platform.states() == 0;
--- a/tests/node/large_fleet.h
+++ b/tests/node/large_fleet.h
@@ -1,4 +1,5 @@
-// A gateway as a process of its own, with thousands of model servers, discovery and clients in the test's.
+// Test fixture: a gateway in a process of its own, with thousands of fake model servers, discovery and
+// clients in the test's process.
 #pragma once
 
 #include <fcntl.h>
@@ -15,14 +16,14 @@
 #include <set>
 
 #include "day/process.h"
+#include "gateway_fixture.h"
 #include "soak/cpu_share.h"
-#include "world.h"
 
 namespace copperfront {
 
-// What the platform's pages allow: 1,000 ms for a held state and 250 ms for a drain, each with their slack.
-constexpr Span kHeldAtMost = ms(1300);
-constexpr Span kDrainWithin = ms(300);
+// The protocol's limits: 1,000 ms for a held state and 250 ms for a drain, each with its slack.
+constexpr Span kMaxHoldTime = ms(1300);
+constexpr Span kMaxDrainTime = ms(300);
 
 inline const char* const kLargeFleetSettings =
     R"("settings":{"azs":["a","b"],"zone":"a","balancers":300,"models":["reader","writer"],"quantum-ms":4,
@@ -35,12 +36,12 @@
 
 struct LargeFleetOptions {
     std::size_t servers = 200;
-    double share = 1;        // of a core, for the gateway once it is ready
-    bool known_list = true;  // the configuration has the list
-    bool cold = false;       // all servers have just started
+    double cpu_share = 1;       // CPU share of the gateway once it is ready, in cores
+    bool known_list = true;     // the configuration contains the server list
+    bool cold_servers = false;  // all servers have just started
     Span prefill_time = ms(10);
     const char* log_level = "info";
-    bool log_is_stalled = false;  // its lines go into a pipe that nobody reads
+    bool log_is_stalled = false;  // log lines go into a pipe that is never read
 };
 
 class LargeFleet {
@@ -55,11 +56,11 @@
             const std::string name = name_of(n);
             const Role role = is_prefill(n) ? Role::reader : Role::writer;
             platform.add(name, role, n / 2 % 2 == 0 ? "a" : "b", static_cast<int>(n % 20));
-            if (options.cold) platform.set_start(name, now_ms);
+            if (options.cold_servers) platform.set_start(name, now_ms);
         }
     }
     ~LargeFleet() {
-        share_.reset();
+        cpu_share_.reset();
         if (stalled_log_ >= 0) close(stalled_log_);
         std::filesystem::remove(configuration_);
         std::filesystem::remove(log_file());
@@ -85,22 +86,22 @@
         return found;
     }
 
-    void pass(Span span) {
+    void run_for(Span span) {
         Timer timer(loop, [this] { loop.stop(); });
         timer.set(span);
         loop.run();
     }
     template <class Condition>
     bool wait_for(Condition condition, Span limit) {
-        const Instant until = loop.now() + limit;
+        const Instant end = loop.now() + limit;
         while (!condition()) {
-            if (loop.now() > until) return false;
-            pass(ms(10));
+            if (loop.now() > end) return false;
+            run_for(ms(10));
         }
         return true;
     }
 
-    // Starts the gateway and waits until it says that it is ready.
+    // Starts the gateway and waits until its readiness check succeeds.
     void start() {
         std::ofstream file(configuration_);
         const std::string list =
@@ -113,14 +114,14 @@
         if (options_.log_is_stalled) stall_log();
         day::Processes::Start start;
         start.name = kGateway;
-        // Another build of the program, to see what that one does.
+        // Runs another build of the program instead, for comparison.
         const char* const other = std::getenv("LARGE_FLEET_PROGRAM");
         start.program = other != nullptr ? other : COPPERFRONT_PROGRAM;
         start.args = {"node", configuration_, "--log-level", options_.log_level};
         start.errors = log_file();
         processes_.start(std::move(start));
         ASSERT_TRUE(wait_for([this] { return is_ready(); }, ms(20000)));
-        if (options_.share < 1) share_.emplace(loop, processes_, kGateway, options_.share);
+        if (options_.cpu_share < 1) cpu_share_.emplace(loop, processes_, kGateway, options_.cpu_share);
     }
     bool signal(int which) { return processes_.signal(kGateway, which); }
 
@@ -128,25 +129,28 @@
     struct Request {
         std::string id;
         std::unique_ptr<Client> client;
-        Instant sent, ended;  // ended zero: not yet
-        bool is_over() const { return client->whole() || (client->status() != 0 && client->status() != 200); }
+        Instant sent, ended;  // ended zero: no final answer yet
+        bool has_ended() const {
+            return client->is_complete() || (client->status() != 0 && client->status() != 200);
+        }
     };
-    // A request each `apart`. Each look at what has come notes what has ended, and what servers hold.
+    // Sends a request every `apart`. In between, notes which requests have ended and which states servers
+    // hold.
     void send_requests(std::size_t count, Span apart, Span left = ms(4000)) {
         for (std::size_t n = 0; n < count; ++n) {
             Request request;
             request.id = "q" + std::to_string(requests.size());
             request.client = std::make_unique<Client>(loop, address_);
             request.sent = loop.now();
-            request.client->say(text_of(request.id, left));
+            request.client->say(request_text(request.id, left));
             requests.push_back(std::move(request));
             observe_for(apart);
         }
     }
     void observe_for(Span span) {
-        const Instant until = loop.now() + span;
-        while (loop.now() < until) {
-            pass(std::min(until - loop.now(), ms(10)));
+        const Instant end = loop.now() + span;
+        while (loop.now() < end) {
+            run_for(std::min(end - loop.now(), ms(10)));
             observe();
         }
     }
@@ -162,25 +166,25 @@
     std::vector<Request> requests;
 
     std::size_t completed() const {
-        return static_cast<std::size_t>(std::count_if(requests.begin(), requests.end(),
-                                                      [](const Request& r) { return r.client->whole(); }));
+        return static_cast<std::size_t>(std::count_if(
+            requests.begin(), requests.end(), [](const Request& r) { return r.client->is_complete(); }));
     }
-    // Of the answers, in order; one that has not come counts as a minute.
+    // Quantile of the times from request to final answer; a missing answer counts as one minute.
     Span answer_time(double quantile) const {
         std::vector<Span> times;
         for (const Request& r : requests) times.push_back(r.ended.us != 0 ? r.ended - r.sent : ms(60000));
         std::sort(times.begin(), times.end());
         return times[static_cast<std::size_t>(static_cast<double>(times.size() - 1) * quantile)];
     }
-    // The longest that a state was held, as far as it was looked at.
+    // The longest time a state was held, as seen at the observation points.
     Span longest_hold() const { return longest_hold_; }
-    // Prefills and hand-overs that reached one of these servers later than allowed after this time.
+    // Prefills and hand-overs that reached one of these servers later than allowed after it was drained.
     std::size_t late_sends(const std::vector<std::string>& servers, Instant drained) const {
         const std::set<std::string> withdrawn(servers.begin(), servers.end());
         return static_cast<std::size_t>(
-            std::count_if(platform.heard().begin(), platform.heard().end(), [&](const auto& heard) {
-                return heard.method == "POST" && withdrawn.count(heard.server) > 0 &&
-                       heard.at > drained + kDrainWithin;
+            std::count_if(platform.heard().begin(), platform.heard().end(), [&](const auto& request) {
+                return request.method == "POST" && withdrawn.count(request.server) > 0 &&
+                       request.at > drained + kMaxDrainTime;
             }));
     }
     std::size_t whole_lists_written() const {
@@ -188,22 +192,22 @@
                                                       platform.written_lists().end(),
                                                       [](const auto& list) { return list.whole; }));
     }
-    // CPU time of the gateway up to the moment from which it is ready, by its log; nothing: it has not told.
+    // CPU time of the gateway until it is ready, from its log; empty if the log has no such line.
     std::optional<Span> cpu_until_ready() const {
-        const std::string text = log(), wanted = "\"cpu_ms\":";
+        const std::string text = log(), key = "\"cpu_ms\":";
         const std::size_t started = text.find("\"what\":\"started\"");
-        const std::size_t at = started != std::string::npos ? text.find(wanted, started) : started;
+        const std::size_t at = started != std::string::npos ? text.find(key, started) : started;
         if (at == std::string::npos) return std::nullopt;
-        return Span{static_cast<std::int64_t>(std::atof(text.c_str() + at + wanted.size()) * 1000)};
+        return Span{static_cast<std::int64_t>(std::atof(text.c_str() + at + key.size()) * 1000)};
     }
-    // The largest figure under this name in the status lines of the gateway's log; -1: there is none.
-    double most_in_log(const std::string& field) const {
-        double most = -1;
-        const std::string text = log(), wanted = "\"" + field + "\":";
-        for (std::size_t at = 0; (at = text.find(wanted, at)) != std::string::npos; at += wanted.size()) {
-            most = std::max(most, std::atof(text.c_str() + at + wanted.size()));
+    // The largest value of this field in the status lines of the gateway's log; -1 if there is none.
+    double max_in_log(const std::string& field) const {
+        double maximum = -1;
+        const std::string text = log(), key = "\"" + field + "\":";
+        for (std::size_t at = 0; (at = text.find(key, at)) != std::string::npos; at += key.size()) {
+            maximum = std::max(maximum, std::atof(text.c_str() + at + key.size()));
         }
-        return most;
+        return maximum;
     }
     std::string log() const {
         std::ifstream file(log_file());
@@ -230,11 +234,11 @@
     bool is_ready() {
         Client probe(loop, address_);
         probe.say("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        for (int n = 0; n < 20 && probe.status() == 0 && !probe.closed; ++n) pass(ms(5));
+        for (int n = 0; n < 20 && probe.status() == 0 && !probe.closed; ++n) run_for(ms(5));
         return probe.status() == 200;
     }
 
-    static std::string text_of(const std::string& id, Span left) {
+    static std::string request_text(const std::string& id, Span left) {
         const std::string body =
             R"({"model":"chat","stream":true,"messages":[{"role":"user","content":"hi"}]})";
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id +
@@ -247,7 +251,7 @@
     void observe() {
         const Instant now = loop.now();
         for (Request& request : requests) {
-            if (request.ended.us == 0 && request.is_over()) request.ended = now;
+            if (request.ended.us == 0 && request.has_ended()) request.ended = now;
         }
         std::map<std::string, Instant> held;
         for (const std::string& id : platform.held_requests()) {
@@ -258,10 +262,10 @@
         held_since_ = std::move(held);
     }
 
-    // Of its own for each process of this machine.
+    // A loopback address that differs between the test processes of this machine.
     static std::string host() {
-        const int own = static_cast<int>(getpid());
-        return "127.9." + std::to_string(own / 250 % 250) + "." + std::to_string(1 + own % 250);
+        const int pid = static_cast<int>(getpid());
+        return "127.9." + std::to_string(pid / 250 % 250) + "." + std::to_string(1 + pid % 250);
     }
     const std::string configuration_ = std::filesystem::temp_directory_path().string() + "/large-fleet-" +
                                        std::to_string(getpid()) + ".json";
@@ -270,7 +274,7 @@
     Span longest_hold_;
     int stalled_log_ = -1;  // both ends of the pipe
     day::Processes processes_;
-    std::optional<soak::CpuShare> share_;
+    std::optional<soak::CpuShare> cpu_share_;
 };
 
 }  // namespace copperfront
--- a/tests/node/large_fleet_test.cpp
+++ b/tests/node/large_fleet_test.cpp
@@ -1,15 +1,16 @@
-// A gateway with thousands of model servers does what it does with a few.
+// Guards against behaviour that degrades with the number of model servers: a gateway with thousands of them
+// has to meet the same limits as one with a few.
 #include "large_fleet.h"
 
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kUsualServers = 200, kMostServers = 3200;
-constexpr Span kSlowerAtMost = ms(100);  // than with the usual number of servers
+constexpr std::size_t kFewServers = 200, kManyServers = 3200;
+constexpr Span kMaxSlowdown = ms(100);  // compared with kFewServers
 
-// Against a list over 256 KiB that is refused, so that no drain is ever taken.
-TEST(LargeFleet, DrainsAreTakenFromAListOver256KiB) {
-    LargeFleet fleet({.servers = kMostServers});
+// Guards against refusing a list over 256 KiB, which would leave all drains unnoticed.
+TEST(LargeFleet, DrainsAreAppliedFromAListOver256KiB) {
+    LargeFleet fleet({.servers = kManyServers});
     fleet.start();
     fleet.send_requests(50, ms(10));
     std::vector<std::string> drained = fleet.names(true);
@@ -23,10 +24,10 @@
     EXPECT_LE(fleet.whole_lists_written(), 3u);
 }
 
-// Against a list that is given up because it takes over a second to arrive, or to begin.
-TEST(LargeFleet, ListThatArrivesSlowlyIsTaken) {
+// Guards against abandoning a list because it takes over a second to arrive, or to start.
+TEST(LargeFleet, ListThatArrivesSlowlyIsApplied) {
     for (const bool begins_late : {false, true}) {
-        LargeFleet fleet({.servers = kUsualServers});
+        LargeFleet fleet({.servers = kFewServers});
         if (begins_late) fleet.platform.whole_lists_take(ms(2000));
         if (!begins_late) fleet.platform.write_whole_lists_in_pieces(30, ms(48));
         fleet.start();
@@ -37,34 +38,34 @@
         fleet.platform.set_all(drained, "draining");
         fleet.send_requests(100, ms(10));
         EXPECT_TRUE(fleet.wait_for_answers(ms(5000)));
-        EXPECT_EQ(fleet.late_sends(drained, at), 0u) << (begins_late ? "begins late" : "comes in pieces");
+        EXPECT_EQ(fleet.late_sends(drained, at), 0u) << (begins_late ? "starts late" : "arrives in pieces");
     }
 }
 
-// Against requests that wait and cost a look at every server at every event.
+// Guards against scanning every server for the waiting requests at every event.
 TEST(LargeFleet, WaitingRequestsAreAnsweredAsSoonAsWithFewServers) {
-    Span usual_median, usual_late;
-    for (const std::size_t servers : {kUsualServers, kMostServers}) {
-        LargeFleet fleet({.servers = servers, .share = 0.2, .cold = true});
+    Span few_servers_median, few_servers_p99;
+    for (const std::size_t servers : {kFewServers, kManyServers}) {
+        LargeFleet fleet({.servers = servers, .cpu_share = 0.2, .cold_servers = true});
         fleet.start();
         fleet.send_requests(200, ms(10));
         EXPECT_TRUE(fleet.wait_for_answers(ms(8000)));
         std::printf("%zu servers: answers after %.0f ms (median) and %.0f ms (99%%)\n", servers,
                     fleet.answer_time(0.5).ms(), fleet.answer_time(0.99).ms());
-        if (servers == kUsualServers) {
-            usual_median = fleet.answer_time(0.5);
-            usual_late = fleet.answer_time(0.99);
+        if (servers == kFewServers) {
+            few_servers_median = fleet.answer_time(0.5);
+            few_servers_p99 = fleet.answer_time(0.99);
             continue;
         }
-        EXPECT_LE(fleet.answer_time(0.5), usual_median + kSlowerAtMost);
-        EXPECT_LE(fleet.answer_time(0.99), usual_late + kSlowerAtMost);
+        EXPECT_LE(fleet.answer_time(0.5), few_servers_median + kMaxSlowdown);
+        EXPECT_LE(fleet.answer_time(0.99), few_servers_p99 + kMaxSlowdown);
     }
 }
 
-// Against a change of half the fleet that holds the loop, so that drains and releases come late.
+// Guards against a change of half the fleet that blocks the loop and so delays drains and releases.
 TEST(LargeFleet, ChangeOfHalfTheFleetDelaysNeitherDrainsNorReleases) {
-    for (const double share : {1.0, 0.1}) {
-        LargeFleet fleet({.servers = kMostServers, .share = share, .prefill_time = ms(800)});
+    for (const double cpu_share : {1.0, 0.1}) {
+        LargeFleet fleet({.servers = kManyServers, .cpu_share = cpu_share, .prefill_time = ms(800)});
         fleet.start();
         fleet.send_requests(100, ms(10));
         const std::vector<std::string> drained = fleet.names(false);
@@ -72,16 +73,17 @@
         fleet.platform.set_all(drained, "draining");
         fleet.send_requests(100, ms(10));
         EXPECT_TRUE(fleet.wait_for_answers(ms(6000)));
-        std::printf("%.1f of a core: longest hold %.0f ms, answers after %.0f ms (median)\n", share,
+        std::printf("%.1f of a core: longest hold %.0f ms, answers after %.0f ms (median)\n", cpu_share,
                     fleet.longest_hold().ms(), fleet.answer_time(0.5).ms());
-        EXPECT_EQ(fleet.late_sends(drained, at), 0u) << share << " of a core";
-        EXPECT_LE(fleet.longest_hold(), kHeldAtMost) << share << " of a core";
+        EXPECT_EQ(fleet.late_sends(drained, at), 0u) << cpu_share << " of a core";
+        EXPECT_LE(fleet.longest_hold(), kMaxHoldTime) << cpu_share << " of a core";
     }
 }
 
-// Against a start that works through its list before it listens, and a list that costs its square.
+// Guards against processing the whole list before listening, and against work that grows with the square of
+// the list's length.
 TEST(LargeFleet, GatewayIsReadyAfterLittleWork) {
-    LargeFleet fleet({.servers = kMostServers});
+    LargeFleet fleet({.servers = kManyServers});
     fleet.start();
     const std::optional<Span> used = fleet.cpu_until_ready();
     ASSERT_TRUE(used);
@@ -90,9 +92,10 @@
     EXPECT_LE(*used, ms(30));
 }
 
-// Against a loop that stands still: at a list, at a change of half the fleet, or for requests that wait.
-TEST(LargeFleet, NoTurnOfTheLoopIsLong) {
-    LargeFleet fleet({.servers = kMostServers, .cold = true});
+// Guards against a blocked event loop: at a list, at a change of half the fleet, or because of waiting
+// requests.
+TEST(LargeFleet, NoLoopIterationIsLong) {
+    LargeFleet fleet({.servers = kManyServers, .cold_servers = true});
     fleet.platform.indent_lists(true);
     fleet.start();
     fleet.send_requests(500, ms(1));
@@ -101,18 +104,18 @@
     drained.resize(drained.size() / 2);
     fleet.platform.set_all(drained, "draining");
     fleet.observe_for(ms(2500));
-    EXPECT_GE(fleet.most_in_log("requests_waiting"), 300);
-    EXPECT_EQ(fleet.most_in_log("list_entries"), static_cast<double>(kMostServers));
-    EXPECT_GE(fleet.most_in_log("list_bytes"), 600e3);
-    std::printf("busiest turn %.1f ms of CPU, longest turn %.1f ms\n",
-                fleet.most_in_log("busiest_event_cpu_ms"), fleet.most_in_log("longest_event_ms"));
-    EXPECT_GT(fleet.most_in_log("busiest_event_cpu_ms"), 0);
-    EXPECT_LE(fleet.most_in_log("busiest_event_cpu_ms"), 5.0);
+    EXPECT_GE(fleet.max_in_log("requests_waiting"), 300);
+    EXPECT_EQ(fleet.max_in_log("list_entries"), static_cast<double>(kManyServers));
+    EXPECT_GE(fleet.max_in_log("list_bytes"), 600e3);
+    std::printf("busiest loop iteration %.1f ms of CPU, longest %.1f ms\n",
+                fleet.max_in_log("busiest_event_cpu_ms"), fleet.max_in_log("longest_event_ms"));
+    EXPECT_GT(fleet.max_in_log("busiest_event_cpu_ms"), 0);
+    EXPECT_LE(fleet.max_in_log("busiest_event_cpu_ms"), 5.0);
 }
 
-// The same where every server of a list is new to the gateway, and where half the fleet comes at once.
-TEST(LargeFleet, NoTurnOfTheLoopIsLongWhenAllServersAreNew) {
-    LargeFleet fleet({.servers = kMostServers, .known_list = false, .cold = true});
+// The same where every server of a list is new to the gateway, and where half the fleet is added at once.
+TEST(LargeFleet, NoLoopIterationIsLongWhenAllServersAreNew) {
+    LargeFleet fleet({.servers = kManyServers, .known_list = false, .cold_servers = true});
     std::vector<std::string> later = fleet.names(true);
     later.resize(later.size() / 2);
     fleet.platform.set_all(later, "removed");
@@ -121,17 +124,17 @@
     fleet.send_requests(500, ms(1));
     fleet.platform.set_all(later, "up");
     fleet.observe_for(ms(2500));
-    EXPECT_GE(fleet.most_in_log("requests_waiting"), 300);
-    EXPECT_EQ(fleet.most_in_log("list_entries"), static_cast<double>(kMostServers));
-    std::printf("busiest turn %.1f ms of CPU, longest turn %.1f ms\n",
-                fleet.most_in_log("busiest_event_cpu_ms"), fleet.most_in_log("longest_event_ms"));
-    EXPECT_GT(fleet.most_in_log("busiest_event_cpu_ms"), 0);
-    EXPECT_LE(fleet.most_in_log("busiest_event_cpu_ms"), 5.0);
+    EXPECT_GE(fleet.max_in_log("requests_waiting"), 300);
+    EXPECT_EQ(fleet.max_in_log("list_entries"), static_cast<double>(kManyServers));
+    std::printf("busiest loop iteration %.1f ms of CPU, longest %.1f ms\n",
+                fleet.max_in_log("busiest_event_cpu_ms"), fleet.max_in_log("longest_event_ms"));
+    EXPECT_GT(fleet.max_in_log("busiest_event_cpu_ms"), 0);
+    EXPECT_LE(fleet.max_in_log("busiest_event_cpu_ms"), 5.0);
 }
 
-// Against lists that are read before all else, so that answers wait until the last of them has come.
-TEST(LargeFleet, ListsThatComeOneAfterAnotherDelayNoAnswer) {
-    LargeFleet fleet({.servers = kMostServers, .share = 0.1});
+// Guards against handling lists before everything else, which delays answers until the last list has arrived.
+TEST(LargeFleet, ConsecutiveListsDelayNoAnswer) {
+    LargeFleet fleet({.servers = kManyServers, .cpu_share = 0.1});
     fleet.platform.write_whole_lists_in_pieces(10, ms(20));
     fleet.start();
     for (int n = 0; n < 15; ++n) {
@@ -145,8 +148,8 @@
     EXPECT_LE(fleet.answer_time(0.99), ms(1000));
 }
 
-// Against a gateway that stands still once whoever reads its log has stopped.
-TEST(LargeFleet, LogThatNobodyReadsHoldsUpNoRequest) {
+// Guards against a gateway that blocks when the reader of its log stops reading.
+TEST(LargeFleet, LogThatIsNotReadDelaysNoRequest) {
     LargeFleet fleet({.log_level = "trace", .log_is_stalled = true});
     fleet.start();
     fleet.send_requests(600, ms(3));
@@ -154,9 +157,9 @@
     EXPECT_EQ(fleet.completed(), 600u);
 }
 
-// Against signals that each have the whole list of the settings read again.
-TEST(LargeFleet, ReloadsInARowDelayNoAnswer) {
-    LargeFleet fleet({.servers = kMostServers, .share = 0.2});
+// Guards against reload signals that each process the whole list of the settings again.
+TEST(LargeFleet, ConsecutiveReloadsDelayNoAnswer) {
+    LargeFleet fleet({.servers = kManyServers, .cpu_share = 0.2});
     fleet.start();
     for (int n = 0; n < 10; ++n) {
         EXPECT_TRUE(fleet.signal(SIGHUP));
@@ -165,15 +168,15 @@
     EXPECT_TRUE(fleet.wait_for_answers(ms(4000)));
     EXPECT_EQ(fleet.completed(), 200u);
     std::printf("answers after %.0f ms (median)\n", fleet.answer_time(0.5).ms());
-    EXPECT_LE(fleet.answer_time(0.5), ms(69) + kSlowerAtMost);
+    EXPECT_LE(fleet.answer_time(0.5), ms(69) + kMaxSlowdown);
 }
 
-// Against a file that fills the memory before anything is said of it.
-TEST(LargeFleet, ConfigurationPastItsBoundIsRefusedWithAClearError) {
-    constexpr std::size_t kPastTheBound = (64 << 20) + 1;
+// Guards against reading an oversized file into memory before it is refused.
+TEST(LargeFleet, ConfigurationPastItsLimitIsRefusedWithAClearError) {
+    constexpr std::size_t kPastTheLimit = (64 << 20) + 1;
     const std::string file =
         std::filesystem::temp_directory_path() / ("past-the-bound-" + std::to_string(getpid()));
-    std::ofstream(file) << std::string(kPastTheBound, ' ');
+    std::ofstream(file) << std::string(kPastTheLimit, ' ');
     Loop loop;
     day::Processes processes(loop);
     std::optional<int> status;
@@ -187,16 +190,16 @@
         loop.stop();
     };
     processes.start(std::move(start));
-    Timer patience(loop, [&] { loop.stop(); });
-    patience.set(ms(10000));
+    Timer timeout(loop, [&] { loop.stop(); });
+    timeout.set(ms(10000));
     loop.run();
     std::ifstream log(file + ".log");
-    const std::string said((std::istreambuf_iterator<char>(log)), {});
+    const std::string log_text((std::istreambuf_iterator<char>(log)), {});
     std::filesystem::remove(file);
     std::filesystem::remove(file + ".log");
     ASSERT_TRUE(status.has_value());
     EXPECT_NE(*status, 0);
-    EXPECT_NE(said.find("longer than 64 MB"), std::string::npos) << said;
+    EXPECT_NE(log_text.find("longer than 64 MB"), std::string::npos) << log_text;
 }
 
 }  // namespace
--- a/tests/node/limits_test.cpp
+++ b/tests/node/limits_test.cpp
@@ -1,4 +1,4 @@
-// What happens past bounds of the program that a test can reach without a fleet (the table in
+// Behaviour past the program's limits that a test can reach without a fleet (the table in
 // docs/operators/limits-of-the-program.md).
 #include <gtest/gtest.h>
 
@@ -17,18 +17,18 @@
 constexpr Instant kStart{1'000'000'000};
 constexpr Span kMs{1000};
 
-struct StoppedClock : Clock {
-    Instant at = kStart;
-    Instant now() const override { return at; }
+struct ManualClock : Clock {
+    Instant time = kStart;
+    Instant now() const override { return time; }
 };
 
-// Two servers; the first hangs, the second answers nothing either but may be told.
+// Two servers: the first hangs; the second does not answer either, but releases may be sent to it.
 struct TwoServers : ReleasePool {
-    HoldLedger holds{kMs * 1000};
-    SendGuard checks{kMs * 1000};
+    HoldLedger hold_ledger{kMs * 1000};
+    SendGuard send_guard{kMs * 1000};
     ReleaseCallId started = 0;
     std::set<ReleaseCallId> open;
-    std::size_t most_open = 0;
+    std::size_t max_open = 0;
 
     void visit_by_last_heard(const ServerVisitor& visit) const override {
         if (visit(1)) visit(0);
@@ -40,49 +40,49 @@
     Instant hung_until(ServerIndex) const override { return {}; }
     ReleaseCallId start_release(ServerIndex, const std::string&) override {
         open.insert(++started);
-        most_open = std::max(most_open, open.size());
+        max_open = std::max(max_open, open.size());
         return started;
     }
     void cancel_release(ReleaseCallId call) override { open.erase(call); }
     void release_answered(const std::string&, const HoldLedger::ReleaseResult&) override {}
     void release_given_up(const std::string&, const HoldLedger::ReleaseResult&) override {}
-    HoldLedger& ledger() override { return holds; }
-    SendGuard& guard() override { return checks; }
+    HoldLedger& ledger() override { return hold_ledger; }
+    SendGuard& guard() override { return send_guard; }
 };
 
-TEST(Limits, LateAttemptsPastTheBoundAreCountedAndTheOthersFollowedToTheirEnd) {
-    constexpr std::size_t kMost = 1024, kMore = 7;
-    StoppedClock clock;
+TEST(Limits, LateAttemptsPastTheLimitAreCountedAndTheOthersFollowedToTheirEnd) {
+    constexpr std::size_t kMaxFollowed = 1024, kExcess = 7;
+    ManualClock clock;
     TwoServers servers;
     LateAttempts attempts(clock, servers);
-    for (std::size_t n = 0; n < kMost + kMore; ++n)
+    for (std::size_t n = 0; n < kMaxFollowed + kExcess; ++n)
         attempts.follow({0, n, "q" + std::to_string(n), true, kStart});
-    EXPECT_EQ(attempts.size(), kMost);
-    EXPECT_EQ(attempts.overflows(), kMore);
-    for (int look = 0; look < 35 * 50; ++look) {
+    EXPECT_EQ(attempts.size(), kMaxFollowed);
+    EXPECT_EQ(attempts.overflows(), kExcess);
+    for (int round = 0; round < 35 * 50; ++round) {
         attempts.look();
-        clock.at = clock.at + kMs * 20;
+        clock.time = clock.time + kMs * 20;
     }
     EXPECT_EQ(attempts.size(), 0u);
     EXPECT_TRUE(servers.open.empty());
-    EXPECT_LE(servers.most_open, kMost + 1) << "one call at a time to the server that hangs";
+    EXPECT_LE(servers.max_open, kMaxFollowed + 1) << "one call at a time to the hung server";
 }
 
-std::size_t lines_with(const std::string& text, const std::string& what) {
+std::size_t count_lines_with(const std::string& text, const std::string& pattern) {
     std::istringstream lines(text);
     std::size_t count = 0;
-    for (std::string line; std::getline(lines, line);) count += line.find(what) != std::string::npos;
+    for (std::string line; std::getline(lines, line);) count += line.find(pattern) != std::string::npos;
     return count;
 }
 
-TEST(Limits, LinesOfUnusualRequestsPastTheBoundAreCountedAndLateHoldsAreNeverLeftOut) {
-    constexpr int kMostASecond = 50, kMore = 10;
+TEST(Limits, LogLinesPastTheLimitAreCountedAndLateHoldsAreAlwaysLogged) {
+    constexpr int kMaxLinesPerSecond = 50, kExcess = 10;
     const std::string file =
         std::filesystem::temp_directory_path() / ("limits-test-" + std::to_string(::getpid()) + ".log");
     {
         Log log("info", "text", file, 1 << 20, 1);
         RequestLog requests(log);
-        for (int n = 0; n < kMostASecond + kMore; ++n)
+        for (int n = 0; n < kMaxLinesPerSecond + kExcess; ++n)
             requests.request_over("q" + std::to_string(n), RequestLog::Final::failed, "no server", kStart);
         requests.release_answered("late", HoldLedger::Proof::let_go, kMs * 1400, false, "", kStart);
         requests.request_over("next", RequestLog::Final::failed, "no server", kStart + kMs * 1000);
@@ -91,10 +91,10 @@
     std::ifstream written(file);
     const std::string text((std::istreambuf_iterator<char>(written)), {});
     std::filesystem::remove(file);
-    EXPECT_EQ(lines_with(text, "no server"), static_cast<std::size_t>(kMostASecond) + 1);
-    EXPECT_EQ(lines_with(text, "lines left out"), 1u);
-    EXPECT_EQ(lines_with(text, "count=" + std::to_string(kMore)), 1u) << text;
-    EXPECT_EQ(lines_with(text, "late"), 1u);
+    EXPECT_EQ(count_lines_with(text, "no server"), static_cast<std::size_t>(kMaxLinesPerSecond) + 1);
+    EXPECT_EQ(count_lines_with(text, "lines left out"), 1u);
+    EXPECT_EQ(count_lines_with(text, "count=" + std::to_string(kExcess)), 1u) << text;
+    EXPECT_EQ(count_lines_with(text, "late"), 1u);
 }
 
 }  // namespace
--- a/tests/node/membership_test.cpp
+++ b/tests/node/membership_test.cpp
@@ -1,4 +1,4 @@
-// Which servers there are, as lists and their changes come one after the other.
+// The set of known servers while lists and changes of them arrive one after the other.
 #include "node/membership.h"
 
 #include <gtest/gtest.h>
@@ -10,36 +10,36 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kLongList = 3200;
+constexpr std::size_t kLongListSize = 3200;
 constexpr Instant kStarted{1700000000000000};
 
-struct NoConnections : Membership::Connections {
-    std::set<ServerIndex> busy, shunned, removed;
-    std::vector<std::string> learnt;
+struct RecordingConnections : Membership::Connections {
+    std::set<ServerIndex> busy, stopped, removed;
+    std::vector<std::string> endpoints;
 
     void reserve(std::size_t) override {}
     void learn(ServerIndex, const Membership::Endpoint& endpoint) override {
-        learnt.push_back(endpoint.text);
+        endpoints.push_back(endpoint.text);
     }
-    void shun(ServerIndex server) override { shunned.insert(server); }
+    void shun(ServerIndex server) override { stopped.insert(server); }
     void gone(ServerIndex server) override { removed.insert(server); }
     bool is_idle(ServerIndex server) const override { return busy.count(server) == 0; }
 };
 
-struct Changes : Membership::Owner {
+struct RecordingOwner : Membership::Owner {
     struct Change {
         std::vector<Listing> listings;
         bool whole;
     };
-    std::vector<Change> told;
+    std::vector<Change> reported;
 
     void servers_changed(std::span<const Listing> listings, bool whole) override {
-        told.push_back({{listings.begin(), listings.end()}, whole});
+        reported.push_back({{listings.begin(), listings.end()}, whole});
     }
-    // What was told last of a server.
+    // The last reported status of a server.
     Standing standing(ServerIndex server) const {
         Standing last = Standing::gone;
-        for (const Change& change : told) {
+        for (const Change& change : reported) {
             for (const Listing& listing : change.listings) {
                 if (listing.server == server) last = listing.standing;
             }
@@ -49,32 +49,32 @@
 };
 
 platform::Entry entry(const std::string& name, Standing standing = Standing::ready, Instant born = {}) {
-    platform::Entry made;
-    made.name = name;
-    made.address = "127.0.0.1:7000";
-    made.zone = "a";
-    made.kind = "reader";
-    made.cell = "c1";
-    made.standing = standing;
-    made.born = born;
-    return made;
+    platform::Entry result;
+    result.name = name;
+    result.address = "127.0.0.1:7000";
+    result.zone = "a";
+    result.kind = "reader";
+    result.cell = "c1";
+    result.standing = standing;
+    result.born = born;
+    return result;
 }
 
 platform::News long_list() {
-    platform::News news;
-    news.whole = true;
-    for (std::size_t n = 0; n < kLongList; ++n) news.entries.push_back(entry("s" + std::to_string(n)));
-    return news;
+    platform::News update;
+    update.whole = true;
+    for (std::size_t n = 0; n < kLongListSize; ++n) update.entries.push_back(entry("s" + std::to_string(n)));
+    return update;
 }
 
 class MembershipTest : public testing::Test {
   protected:
     MembershipTest() { kinds_.index("reader"); }
-    void take(platform::News news) {
+    void apply(platform::News update) {
         const Loop::Event event(loop, "test");
-        membership.take(std::move(news));
+        membership.take(std::move(update));
     }
-    void change(std::vector<platform::Entry> entries) { take({2, false, std::move(entries)}); }
+    void apply_change(std::vector<platform::Entry> entries) { apply({2, false, std::move(entries)}); }
     void run_loop() {
         Timer end(loop, [this] { loop.stop(); });
         end.set(Span{50000});
@@ -87,42 +87,43 @@
 
   public:
     Loop loop;
-    NoConnections connections;
-    Changes changes;
+    RecordingConnections connections;
+    RecordingOwner changes;
     Membership membership{loop, kinds_, zones_, connections, changes, log_};
 };
 
-// Against a part of a fleet that gets the requests of all of it.
-TEST_F(MembershipTest, LongListHoldsFromOneMomentOn) {
-    take(long_list());
+// Guards against a list that is applied in parts, which would send the requests of the whole fleet to a part
+// of it.
+TEST_F(MembershipTest, LongListIsAppliedAtomically) {
+    apply(long_list());
     EXPECT_EQ(membership.size(), 0u);
     run_loop();
-    EXPECT_EQ(membership.size(), kLongList);
+    EXPECT_EQ(membership.size(), kLongListSize);
     std::size_t listings = 0;
-    for (const auto& change : changes.told) listings = std::max(listings, change.listings.size());
-    EXPECT_EQ(listings, kLongList);
-    EXPECT_TRUE(changes.told.back().whole);
+    for (const auto& change : changes.reported) listings = std::max(listings, change.listings.size());
+    EXPECT_EQ(listings, kLongListSize);
+    EXPECT_TRUE(changes.reported.back().whole);
 }
 
-// Against requests to a server that a long list withdraws at its end.
-TEST_F(MembershipTest, WhatALongListWithdrawsIsWithdrawnAtOnce) {
-    take(long_list());
+// Guards against requests to a server that a long list withdraws in its last entries.
+TEST_F(MembershipTest, ServersThatALongListWithdrawsAreWithdrawnAtOnce) {
+    apply(long_list());
     run_loop();
-    platform::News news = long_list();
-    news.entries.back().standing = Standing::draining;
-    const ServerIndex last = kLongList - 1;
-    take(std::move(news));
+    platform::News update = long_list();
+    update.entries.back().standing = Standing::draining;
+    const ServerIndex last = kLongListSize - 1;
+    apply(std::move(update));
     EXPECT_EQ(changes.standing(last), Standing::draining);
-    EXPECT_EQ(connections.shunned.count(last), 1u);
+    EXPECT_EQ(connections.stopped.count(last), 1u);
     run_loop();
     EXPECT_EQ(changes.standing(last), Standing::draining);
 }
 
-// Against an older list that holds after a newer one, as it takes longer.
-TEST_F(MembershipTest, ChangeThatComesWhileALongListIsWorkedThroughHoldsAfterIt) {
-    take(long_list());
-    change({entry("s7", Standing::draining), entry("s8", Standing::gone)});
-    EXPECT_EQ(membership.size(), kLongList - 1);
+// Guards against an older list that is applied after a newer one because it takes longer to process.
+TEST_F(MembershipTest, ChangeThatArrivesWhileALongListIsProcessedIsAppliedAfterIt) {
+    apply(long_list());
+    apply_change({entry("s7", Standing::draining), entry("s8", Standing::gone)});
+    EXPECT_EQ(membership.size(), kLongListSize - 1);
     EXPECT_EQ(changes.standing(7), Standing::draining);
     EXPECT_FALSE(membership.has("s8"));
     run_loop();
@@ -130,68 +131,68 @@
     EXPECT_FALSE(membership.has("s8"));
 }
 
-TEST_F(MembershipTest, ServersThatAWholeListLeavesOutAreGone) {
-    change({entry("a"), entry("b")});
-    take({3, true, {entry("b")}});
+TEST_F(MembershipTest, ServersThatAWholeListOmitsAreRemoved) {
+    apply_change({entry("a"), entry("b")});
+    apply({3, true, {entry("b")}});
     EXPECT_FALSE(membership.has("a"));
     EXPECT_TRUE(membership.has("b"));
     EXPECT_EQ(connections.removed, std::set<ServerIndex>{0});
 }
 
-// Against answers of an old server that count as those of the one that has its index by then.
-TEST_F(MembershipTest, IndexIsHandedOnOnlyOnceNothingIsOutAtItsServer) {
-    change({entry("a", Standing::ready, kStarted)});
+// Guards against attributing answers of a removed server to the one that has its index by then.
+TEST_F(MembershipTest, IndexIsReusedOnlyOnceItsServerIsIdle) {
+    apply_change({entry("a", Standing::ready, kStarted)});
     connections.busy.insert(0);
-    change({entry("a", Standing::gone)});
-    change({entry("b")});
+    apply_change({entry("a", Standing::gone)});
+    apply_change({entry("b")});
     EXPECT_EQ(membership.indices(), 2u);
     EXPECT_EQ(membership.name_of(0), "a");
     connections.busy.clear();
-    change({entry("c")});
+    apply_change({entry("c")});
     EXPECT_EQ(membership.indices(), 2u);
     EXPECT_EQ(membership.name_of(0), "c");
 }
 
-// Against a table that grows with each replacement, and is searched whole for each name, where no list tells
-// starts.
-TEST_F(MembershipTest, FleetThatIsReplacedWithoutStartsTakesNoMoreThanTwiceItsSize) {
-    std::vector<Instant> starts(2 * kLongList, Instant{-1});
+// Guards against a table that grows with each replacement of the fleet, and is searched completely for each
+// name, where lists give no start times.
+TEST_F(MembershipTest, FleetReplacedWithoutStartTimesUsesAtMostTwiceItsSize) {
+    std::vector<Instant> starts(2 * kLongListSize, Instant{-1});
     for (int round = 0; round < 6; ++round) {
-        platform::News news = long_list();
-        for (platform::Entry& each : news.entries) each.name += "-" + std::to_string(round);
-        const std::size_t before = changes.told.size();
-        take(std::move(news));
+        platform::News update = long_list();
+        for (platform::Entry& each : update.entries) each.name += "-" + std::to_string(round);
+        const std::size_t before = changes.reported.size();
+        apply(std::move(update));
         run_loop();
-        EXPECT_EQ(membership.size(), kLongList);
-        ASSERT_LE(membership.indices(), 2 * kLongList);
-        ASSERT_GT(changes.told.size(), before);
-        for (const Listing& listing : changes.told.back().listings) {
+        EXPECT_EQ(membership.size(), kLongListSize);
+        ASSERT_LE(membership.indices(), 2 * kLongListSize);
+        ASSERT_GT(changes.reported.size(), before);
+        for (const Listing& listing : changes.reported.back().listings) {
             EXPECT_NE(listing.born, starts[listing.server]);
             starts[listing.server] = listing.born;
         }
     }
 }
 
-// Against a server that is taken for a new process each time that a list names it.
-TEST_F(MembershipTest, StartOfAServerWithAHandedOnIndexStaysTheSame) {
-    change({entry("a")});
-    change({entry("a", Standing::gone)});
-    change({entry("b")});
+// Guards against treating a server as a new process each time a list names it.
+TEST_F(MembershipTest, StartOfAServerWithAReusedIndexStaysTheSame) {
+    apply_change({entry("a")});
+    apply_change({entry("a", Standing::gone)});
+    apply_change({entry("b")});
     ASSERT_EQ(membership.name_of(0), "b");
-    const Instant start = changes.told.back().listings.at(0).born;
+    const Instant start = changes.reported.back().listings.at(0).born;
     EXPECT_NE(start, Instant{});
-    change({entry("b", Standing::draining)});
-    EXPECT_EQ(changes.told.back().listings.at(0).born, start);
-    change({entry("b", Standing::ready, kStarted)});
-    EXPECT_NE(changes.told.back().listings.at(0).born, start);
+    apply_change({entry("b", Standing::draining)});
+    EXPECT_EQ(changes.reported.back().listings.at(0).born, start);
+    apply_change({entry("b", Standing::ready, kStarted)});
+    EXPECT_NE(changes.reported.back().listings.at(0).born, start);
 }
 
-// Against a list of which one entry can't be used and none is taken.
-TEST_F(MembershipTest, EntryThatCannotBeUsedIsPassedOver) {
-    platform::Entry elsewhere = entry("a"), unknown = entry("b");
-    elsewhere.address = "example.org:80";
-    unknown.kind = "painter";
-    change({elsewhere, unknown, entry("c")});
+// Guards against dropping a whole list because one of its entries can't be used.
+TEST_F(MembershipTest, UnusableEntryIsSkipped) {
+    platform::Entry unresolved = entry("a"), unknown_kind = entry("b");
+    unresolved.address = "example.org:80";
+    unknown_kind.kind = "painter";
+    apply_change({unresolved, unknown_kind, entry("c")});
     EXPECT_FALSE(membership.has("a"));
     EXPECT_FALSE(membership.has("b"));
     EXPECT_TRUE(membership.has("c"));
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,41 +1,42 @@
-// The gateway on the platform, over loopback against stand-ins of its model servers and its discovery.
+// The HTTP gateway over loopback, with fake model servers and a fake discovery.
 #include <sys/resource.h>
 
-#include "world.h"
+#include "gateway_fixture.h"
 
 using namespace copperfront;
 using standin::Fault;
 
 namespace {
 
-void a_calm_call_is_passed_on_unchanged_and_its_stream_comes_back_whole() {
-    World w;
-    auto c = w.client();
-    c->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    w.until("ready", [&] { return c->status() == 200; });
-    c->heard.clear();
-    c->say(w.call("q-1"));
-    w.until("the stream's end", [&] { return c->whole(); });
-    assert(c->status() == 200 && c->heard.find("data: ") != std::string::npos);
-    assert(w.platform.heard().size() == 2);
-    for (const auto& h : w.platform.heard()) {
+void request_is_forwarded_unchanged_and_its_stream_is_returned_complete() {
+    GatewayFixture fixture;
+    auto client = fixture.client();
+    client->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    fixture.wait_until("ready", [&] { return client->status() == 200; });
+    client->received.clear();
+    client->say(fixture.request_text("q-1"));
+    fixture.wait_until("the stream's end", [&] { return client->is_complete(); });
+    assert(client->status() == 200 && client->received.find("data: ") != std::string::npos);
+    assert(fixture.platform.heard().size() == 2);
+    for (const auto& h : fixture.platform.heard()) {
         assert(h.id == "q-1" && h.method == "POST" && h.target == "/v1/chat/completions?x=1");
         assert(h.body.find("hello there") != std::string::npos && h.left_ms > 1000 && h.left_ms <= 2000);
     }
-    assert(w.platform.heard()[0].server == "r1" && w.platform.heard()[1].server == "w1");
-    // The same connections, of the client and to the servers, carry the next one once they have rested.
-    w.pass(ms(50));
-    c->heard.clear();
-    c->say(w.call("q-2"));
-    w.until("the second stream's end", [&] { return c->whole(); });
-    assert(w.platform.heard()[2].connection == w.platform.heard()[0].connection);
-    assert(w.platform.heard()[3].connection == w.platform.heard()[1].connection);
-    assert(w.node->upstreams().counts().made == 2 && w.node->upstreams().counts().reused == 2);
-    w.at_rest();
+    assert(fixture.platform.heard()[0].server == "r1" && fixture.platform.heard()[1].server == "w1");
+    // After a pause, the next request reuses the same client and server connections.
+    fixture.run_for(ms(50));
+    client->received.clear();
+    client->say(fixture.request_text("q-2"));
+    fixture.wait_until("the second stream's end", [&] { return client->is_complete(); });
+    assert(fixture.platform.heard()[2].connection == fixture.platform.heard()[0].connection);
+    assert(fixture.platform.heard()[3].connection == fixture.platform.heard()[1].connection);
+    assert(fixture.node->upstreams().counts().made == 2 && fixture.node->upstreams().counts().reused == 2);
+    fixture.wait_until_idle();
 }
 
-// What comes back, how it counts, and whether it has run: each row of the page's table.
-void each_outcome_is_told_apart() {
+// How each answer of a model server is classified, and whether the attempt counts as run: one row for each
+// row of the protocol's table.
+void each_outcome_is_classified() {
     struct Row {
         const char* server;
         Fault fault;
@@ -56,486 +57,503 @@
                         {"w1", Fault::head_without_end, Ending::broken},
                         {"w1", Fault::no_event, Ending::broken}};
     for (const Row& row : rows) {
-        World w;
-        w.platform.next(row.server, row.fault);
-        // None of it is sent again by itself, so the first attempt that follows is the module's.
-        auto c = w.ask();
-        const auto count = w.node->desk().tally().endings[static_cast<std::size_t>(row.ending)];
-        if (count != 1 || !(c->whole() || c->status() == 503 || c->status() == 504))
-            std::fprintf(stderr, "%s fault %d: ending %d came %d times, status %d\n", row.server,
+        GatewayFixture fixture;
+        fixture.platform.next(row.server, row.fault);
+        // The connection pool resends nothing, so every further attempt is made by the dispatcher.
+        auto client = fixture.run_request();
+        const auto count = fixture.node->desk().tally().endings[static_cast<std::size_t>(row.ending)];
+        if (count != 1 || !(client->is_complete() || client->status() == 503 || client->status() == 504))
+            std::fprintf(stderr, "%s fault %d: ending %d counted %d times, status %d\n", row.server,
                          static_cast<int>(row.fault), static_cast<int>(row.ending), static_cast<int>(count),
-                         c->status());
+                         client->status());
         assert(count == 1);
-        assert(c->whole() || c->status() == 503 || c->status() == 504);
-        w.at_rest();
+        assert(client->is_complete() || client->status() == 503 || client->status() == 504);
+        fixture.wait_until_idle();
     }
 }
 
-void what_was_never_sent_is_told_from_what_may_have_run() {
-    World w;
-    w.platform.kill("r1");
-    auto c = w.ask("700");
-    assert(c->status() == 503 || c->status() == 504);
-    const auto& endings = w.node->desk().tally().endings;
+void attempt_never_sent_is_distinguished_from_one_that_may_have_run() {
+    GatewayFixture fixture;
+    fixture.platform.kill("r1");
+    auto client = fixture.run_request("700");
+    assert(client->status() == 503 || client->status() == 504);
+    const auto& endings = fixture.node->desk().tally().endings;
     assert(endings[static_cast<std::size_t>(Ending::unreachable)] > 0);
     assert(endings[static_cast<std::size_t>(Ending::broken)] == 0);
-    assert(w.platform.heard().empty());
-    w.at_rest();
+    assert(fixture.platform.heard().empty());
+    fixture.wait_until_idle();
 }
 
-void a_connection_that_never_comes_up_was_never_sent() {
-    World w;
+void attempt_without_an_established_connection_counts_as_never_sent() {
+    GatewayFixture fixture;
     const StalledListener stalled;
-    w.platform.point("r1", stalled.address());
-    w.pass(ms(30));
-    auto c = w.ask("700");
-    assert(c->status() == 503 || c->status() == 504);
-    // Another reader has it at once.
-    w.platform.add("r2", Role::reader, "z", 1);
-    w.pass(ms(30));
-    assert(w.ask()->whole());
-    const Tally& t = w.node->desk().tally();
+    fixture.platform.point("r1", stalled.address());
+    fixture.run_for(ms(30));
+    auto client = fixture.run_request("700");
+    assert(client->status() == 503 || client->status() == 504);
+    // Another prefill server takes the next request at once.
+    fixture.platform.add("r2", Role::reader, "z", 1);
+    fixture.run_for(ms(30));
+    assert(fixture.run_request()->is_complete());
+    const Tally& t = fixture.node->desk().tally();
     assert(t.not_connected > 0 &&
            t.not_connected == t.endings[static_cast<std::size_t>(Ending::unreachable)]);
-    assert(t.endings[static_cast<std::size_t>(Ending::broken)] == 0 && w.platform.count("POST", "r1") == 0);
-    w.at_rest();
+    assert(t.endings[static_cast<std::size_t>(Ending::broken)] == 0 &&
+           fixture.platform.count("POST", "r1") == 0);
+    fixture.wait_until_idle();
 }
 
-void good_streams_that_bring_more_than_belongs_to_them_are_good() {
+void valid_streams_with_extra_messages_are_accepted() {
     for (const Fault fault : {Fault::interim, Fault::second_answer}) {
-        World w;
-        w.platform.next("w1", fault);
-        auto c = w.ask();
-        assert(c->whole() && c->answers() == 1 && c->heard.find("another") == std::string::npos);
-        w.at_rest();
-        // The connection that brought more is not used again.
-        auto d = w.ask();
-        assert(d->whole() && d->answers() == 1);
-        const auto& heard = w.platform.heard();
-        assert((heard[3].connection == heard[1].connection) == (fault == Fault::interim));
+        GatewayFixture fixture;
+        fixture.platform.next("w1", fault);
+        auto client = fixture.run_request();
+        assert(client->is_complete() && client->response_count() == 1 &&
+               client->received.find("another") == std::string::npos);
+        fixture.wait_until_idle();
+        // The connection with the extra answer is not used again.
+        auto second_client = fixture.run_request();
+        assert(second_client->is_complete() && second_client->response_count() == 1);
+        const auto& requests = fixture.platform.heard();
+        assert((requests[3].connection == requests[1].connection) == (fault == Fault::interim));
     }
 }
 
-void a_stream_that_is_spoilt_after_its_first_event_ends_without_its_last_chunk() {
+void stream_that_fails_after_its_first_event_ends_without_the_last_chunk() {
     for (const Fault fault : {Fault::size_unreadable, Fault::size_huge, Fault::size_misfit, Fault::breaks,
                               Fault::ends_early, Fault::falls_silent}) {
-        World w;
-        w.platform.next("w1", fault);
-        auto c = w.client();
-        const Instant start = w.loop.now();
-        c->say(w.call("q"));
-        w.until(
-            "the client's connection ends", [&] { return c->closed; }, ms(8000));
-        // The silent one is cut before five seconds without an event have passed.
-        assert(c->closed_at - start < ms(5000));
-        assert(c->status() == 200 && c->heard.find("data: ") != std::string::npos);
-        assert(c->heard.find("\r\n0\r\n\r\n") == std::string::npos &&
-               c->heard.find("zz") == std::string::npos);
-        // Nothing of it is sent again.
-        assert(w.platform.count("POST", "w1") == 1);
-        w.at_rest();
+        GatewayFixture fixture;
+        fixture.platform.next("w1", fault);
+        auto client = fixture.client();
+        const Instant start = fixture.loop.now();
+        client->say(fixture.request_text("q"));
+        fixture.wait_until(
+            "the client's connection is closed", [&] { return client->closed; }, ms(8000));
+        // The silent stream is closed before five seconds without an event have passed.
+        assert(client->closed_at - start < ms(5000));
+        assert(client->status() == 200 && client->received.find("data: ") != std::string::npos);
+        assert(client->received.find("\r\n0\r\n\r\n") == std::string::npos &&
+               client->received.find("zz") == std::string::npos);
+        // The request is not sent again.
+        assert(fixture.platform.count("POST", "w1") == 1);
+        fixture.wait_until_idle();
     }
 }
 
-// The client's time is one for the first token alone.
-void a_stream_that_rests_longer_than_its_client_would_have_waited_goes_on() {
-    standin::Platform::Shape resting;
-    resting.gap = ms(700);
-    resting.events = 2;
-    World w(256, resting);
-    auto c = w.ask("500");
-    assert(c->whole() && w.node->desk().tally().streams_silent == 0);
-    w.at_rest();
+// The client's time limit applies only to the first token.
+void stream_that_pauses_longer_than_the_time_left_continues() {
+    standin::Platform::Shape pausing;
+    pausing.gap = ms(700);
+    pausing.events = 2;
+    GatewayFixture fixture(256, pausing);
+    auto client = fixture.run_request("500");
+    assert(client->is_complete() && fixture.node->desk().tally().streams_silent == 0);
+    fixture.wait_until_idle();
 }
 
-void a_client_that_leaves_takes_its_attempt_and_its_state_with_it() {
+void disconnect_cancels_the_attempt_and_releases_the_state() {
     standin::Platform::Shape slow;
     slow.read = ms(150);
     slow.first = slow.gap = ms(150);
-    for (const std::int64_t after : {50, 200, 380}) {  // while it is read, handed over, written
-        World w(256, slow);
-        auto c = w.client();
-        c->say(w.call("q"));
-        w.pass(ms(after));
-        c->leave();
-        w.at_rest();
-        assert(w.node->desk().tally().left == 1);
-        assert(w.node->clients().size() == 0);
+    for (const std::int64_t after : {50, 200, 380}) {  // during prefill, hand-over and decode
+        GatewayFixture fixture(256, slow);
+        auto client = fixture.client();
+        client->say(fixture.request_text("q"));
+        fixture.run_for(ms(after));
+        client->leave();
+        fixture.wait_until_idle();
+        assert(fixture.node->desk().tally().left == 1);
+        assert(fixture.node->clients().size() == 0);
     }
 }
 
-void an_id_that_is_open_is_refused_and_the_open_one_left_alone() {
-    World w;
-    auto c = w.client(), thief = w.client();
-    c->say(w.call("mine"));
-    w.until("it is open", [&] { return w.node->desk().open_queries() == 1; });
-    thief->say(w.call("mine"));
-    w.until("an answer", [&] { return thief->status() != 0; });
-    assert(thief->status() == 409);
-    w.until("the first one's end", [&] { return c->whole(); });
-    assert(w.platform.count("POST") == 2);
+void duplicate_of_an_open_id_is_refused_and_the_open_request_continues() {
+    GatewayFixture fixture;
+    auto client = fixture.client(), duplicate = fixture.client();
+    client->say(fixture.request_text("mine"));
+    fixture.wait_until("the request is open", [&] { return fixture.node->desk().open_queries() == 1; });
+    duplicate->say(fixture.request_text("mine"));
+    fixture.wait_until("an answer", [&] { return duplicate->status() != 0; });
+    assert(duplicate->status() == 409);
+    fixture.wait_until("the end of the first stream", [&] { return client->is_complete(); });
+    assert(fixture.platform.count("POST") == 2);
 }
 
-void calls_that_cannot_be_read_get_an_error_and_nothing_is_passed_on() {
-    World w;
-    const std::string good = w.call("hidden");
-    const std::pair<std::string, int> bad[] = {
+void invalid_requests_get_an_error_and_nothing_is_forwarded() {
+    GatewayFixture fixture;
+    const std::string hidden_request = fixture.request_text("hidden");
+    const std::pair<std::string, int> invalid_requests[] = {
         {"what is this\r\n\r\n", 400},
-        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(good.size()) +
-             "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + good,
+        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: " +
+             std::to_string(hidden_request.size()) + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
+             hidden_request,
          400},
-        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n" + good, 400},
-        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n" + good, 413},
+        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n" + hidden_request, 400},
+        {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n" + hidden_request,
+         413},
         {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n" +
-             good,
+             hidden_request,
          413},
         {"GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(20000, 'a'), 431},
         {"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n", 404},
         {"DELETE /v1/chat/completions HTTP/1.1\r\nHost: a\r\n\r\n", 405},
         {"POST /health/ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405},
         {"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 400},
-        {w.call("a/b"), 400},
-        {w.call("q", "soon"), 400},
-        {w.call("q", "-5"), 400},
+        {fixture.request_text("a/b"), 400},
+        {fixture.request_text("q", "soon"), 400},
+        {fixture.request_text("q", "-5"), 400},
     };
-    for (const auto& [text, status] : bad) {
-        auto c = w.client();
-        c->say(text);
-        w.until(
-            "an answer", [&] { return c->status() != 0; }, ms(3000));
-        if (c->status() != status) std::fprintf(stderr, "%d for: %.200s\n", c->status(), text.c_str());
-        assert(c->status() == status && c->answers() == 1);
-        // What can't be told apart from another message ends its connection; what could be read does not.
+    for (const auto& [text, status] : invalid_requests) {
+        auto client = fixture.client();
+        client->say(text);
+        fixture.wait_until(
+            "an answer", [&] { return client->status() != 0; }, ms(3000));
+        if (client->status() != status)
+            std::fprintf(stderr, "%d for: %.200s\n", client->status(), text.c_str());
+        assert(client->status() == status && client->response_count() == 1);
+        // A request whose end can't be determined closes its connection; one that could be parsed does not.
         if (status == 413 || status == 431 || text.find("what is") == 0)
-            w.until(
-                "the close", [&] { return c->closed; }, ms(3000));
+            fixture.wait_until(
+                "the connection is closed", [&] { return client->closed; }, ms(3000));
     }
-    assert(w.platform.heard().empty());
+    assert(fixture.platform.heard().empty());
 }
 
-void half_a_call_and_silence_are_ended_in_time() {
-    World w;
-    auto silent = w.client(), half = w.client(), slow = w.client();
-    const Instant start = w.loop.now();
-    const std::string text = w.call("q");
+void incomplete_requests_and_silent_connections_are_closed_in_time() {
+    GatewayFixture fixture;
+    auto silent = fixture.client(), half = fixture.client(), slow = fixture.client();
+    const Instant start = fixture.loop.now();
+    const std::string text = fixture.request_text("q");
     half->say(text.substr(0, text.size() - 5));
     std::size_t at = 0;
-    w.until(
-        "all are closed",
+    fixture.wait_until(
+        "all connections are closed",
         [&] {
-            // Byte by byte it would take minutes.
-            if (!slow->closed && w.loop.now() - start > ms(static_cast<std::int64_t>(at) * 20) &&
+            // One byte each 20 ms: the request would take longer than the time limit of a request.
+            if (!slow->closed && fixture.loop.now() - start > ms(static_cast<std::int64_t>(at) * 20) &&
                 at < text.size())
                 slow->say(text.substr(at++, 1));
             return silent->closed && half->closed && slow->closed;
         },
         ms(6000));
-    assert(w.loop.now() - start < ms(3000));
-    assert(half->status() == 408 && silent->heard.empty());
-    assert(w.platform.heard().empty());
+    assert(fixture.loop.now() - start < ms(3000));
+    assert(half->status() == 408 && silent->received.empty());
+    assert(fixture.platform.heard().empty());
 }
 
-void connections_by_the_hundreds_that_say_nothing_do_not_keep_others_out() {
-    World w(128);
+void hundreds_of_silent_connections_do_not_block_others() {
+    GatewayFixture fixture(128);
     std::vector<std::unique_ptr<Client>> idle;
-    for (int n = 0; n < 300; ++n) idle.push_back(w.client());
-    auto c = w.ask();
-    assert(c->whole());
-    assert(w.node->clients().size() < 80);
+    for (int n = 0; n < 300; ++n) idle.push_back(fixture.client());
+    auto client = fixture.run_request();
+    assert(client->is_complete());
+    assert(fixture.node->clients().size() < 80);
 }
 
-void more_calls_than_there_are_connections_for_are_told_to_come_back() {
+void requests_beyond_the_connection_limit_are_rejected() {
     standin::Platform::Shape slow;
     slow.read = ms(300);
-    World w(64, slow);
+    GatewayFixture fixture(64, slow);
     std::vector<std::unique_ptr<Client>> clients;
     for (int n = 0; n < 40; ++n) {
-        clients.push_back(w.client());
-        clients.back()->say(w.call(w.fresh()));
+        clients.push_back(fixture.client());
+        clients.back()->say(fixture.request_text(fixture.new_request_id()));
     }
-    w.until("each has its answer or a close", [&] {
-        for (const auto& c : clients)
-            if (!c->closed && !c->whole() && c->status() != 503 && c->status() != 504) return false;
+    fixture.wait_until("each request is answered or its connection closed", [&] {
+        for (const auto& client : clients)
+            if (!client->closed && !client->is_complete() && client->status() != 503 &&
+                client->status() != 504)
+                return false;
         return true;
     });
-    std::size_t whole = 0;
-    for (const auto& c : clients) whole += c->whole();
-    assert(whole >= 10);
-    w.at_rest();
+    std::size_t completed = 0;
+    for (const auto& client : clients) completed += client->is_complete();
+    assert(completed >= 10);
+    fixture.wait_until_idle();
 }
 
-void out_of_descriptors_it_waits_and_goes_on() {
-    World w;
+void gateway_recovers_when_descriptors_run_out() {
+    GatewayFixture fixture;
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
-    auto first = w.ask();
-    assert(first->whole());
-    std::vector<int> taken;
-    // All but a few are taken; a client's end takes one, the gateway's end would be the next.
+    auto first = fixture.run_request();
+    assert(first->is_complete());
+    std::vector<int> descriptors;
+    // All descriptors but one are used: the client's end takes it, and none is left for the gateway's end.
     rlimit tight = before;
     tight.rlim_cur = 200;
     setrlimit(RLIMIT_NOFILE, &tight);
-    for (int fd; (fd = dup(0)) >= 0;) taken.push_back(fd);
-    close(taken.back());
-    taken.pop_back();
-    auto c = w.client();
-    c->say(w.call("late"));
-    w.pass(ms(300));
-    assert(c->status() == 0);
-    for (const int fd : taken) close(fd);
+    for (int fd; (fd = dup(0)) >= 0;) descriptors.push_back(fd);
+    close(descriptors.back());
+    descriptors.pop_back();
+    auto client = fixture.client();
+    client->say(fixture.request_text("late"));
+    fixture.run_for(ms(300));
+    assert(client->status() == 0);
+    for (const int fd : descriptors) close(fd);
     setrlimit(RLIMIT_NOFILE, &before);
-    w.until("it is taken after all", [&] { return c->whole(); });
+    fixture.wait_until("the connection is accepted and its request answered",
+                       [&] { return client->is_complete(); });
 }
 
-// Against servers that part with kept connections without a word: after one reset the others kept there are
-// let go, and it is told from a server that fails.
-void a_reset_on_a_kept_connection_is_the_last_one_there() {
+// Guards against idle connections that the server has dropped silently: after one reset, the other idle
+// connections to that server are closed, and the reset does not count as a failing server.
+void reset_on_an_idle_connection_closes_the_other_idle_ones() {
     standin::Platform::Shape slow;
     slow.read = ms(100);
-    World w(256, slow);
+    GatewayFixture fixture(256, slow);
     std::vector<std::unique_ptr<Client>> clients;
     for (int n = 0; n < 5; ++n) {
-        clients.push_back(w.client());
-        clients.back()->say(w.call(w.fresh()));
+        clients.push_back(fixture.client());
+        clients.back()->say(fixture.request_text(fixture.new_request_id()));
     }
-    w.until("all are settled", [&] {
-        for (const auto& c : clients)
-            if (!c->whole()) return false;
+    fixture.wait_until("all requests are completed", [&] {
+        for (const auto& client : clients)
+            if (!client->is_complete()) return false;
         return true;
     });
-    const auto before = w.node->upstreams().counts();
-    assert(before.made >= 9);  // five to the reader; a writer's may be free again
-    // As many as are kept would be reset, had they stayed.
-    const std::size_t heard = w.platform.heard().size();
-    w.platform.next("r1", Fault::resets, 1);
-    auto c = w.ask();
-    assert(c->whole());
-    assert(w.node->upstreams().counts().broken == before.broken + 1);
+    const auto before = fixture.node->upstreams().counts();
+    assert(before.made >= 9);  // five to the prefill server; one to the decode server may be free again
+    // All idle connections would be reset if they were used.
+    const std::size_t requests_before = fixture.platform.heard().size();
+    fixture.platform.next("r1", Fault::resets, 1);
+    auto client = fixture.run_request();
+    assert(client->is_complete());
+    assert(fixture.node->upstreams().counts().broken == before.broken + 1);
     std::uint64_t newest = 0;
-    for (std::size_t n = 0; n < heard; ++n) newest = std::max(newest, w.platform.heard()[n].connection);
-    std::vector<std::uint64_t> reads;
-    for (std::size_t n = heard; n < w.platform.heard().size(); ++n)
-        if (w.platform.heard()[n].server == "r1" && w.platform.heard()[n].method == "POST")
-            reads.push_back(w.platform.heard()[n].connection);
-    assert(reads.size() == 2 && reads[0] <= newest && reads[1] > newest);
-    w.at_rest();
+    for (std::size_t n = 0; n < requests_before; ++n)
+        newest = std::max(newest, fixture.platform.heard()[n].connection);
+    std::vector<std::uint64_t> prefills;
+    for (std::size_t n = requests_before; n < fixture.platform.heard().size(); ++n)
+        if (fixture.platform.heard()[n].server == "r1" && fixture.platform.heard()[n].method == "POST")
+            prefills.push_back(fixture.platform.heard()[n].connection);
+    assert(prefills.size() == 2 && prefills[0] <= newest && prefills[1] > newest);
+    fixture.wait_until_idle();
 }
 
-void pipelined_calls_are_answered_in_their_turn() {
-    World w;
-    auto c = w.client();
-    c->say(w.call("first") + w.call("second"));
-    w.until("both are answered", [&] {
-        return c->answers() == 2 && c->heard.find("[DONE]", c->heard.find("[DONE]") + 1) != std::string::npos;
+void pipelined_requests_are_answered_in_order() {
+    GatewayFixture fixture;
+    auto client = fixture.client();
+    client->say(fixture.request_text("first") + fixture.request_text("second"));
+    fixture.wait_until("both requests are answered", [&] {
+        return client->response_count() == 2 &&
+               client->received.find("[DONE]", client->received.find("[DONE]") + 1) != std::string::npos;
     });
     std::vector<std::string> ids;
-    for (const auto& h : w.platform.heard()) ids.push_back(h.id);
+    for (const auto& h : fixture.platform.heard()) ids.push_back(h.id);
     assert((ids == std::vector<std::string>{"first", "first", "second", "second"}));
 }
 
-void states_whose_read_was_not_heard_to_end_are_let_go() {
-    World w;
-    // The reader's connection breaks; the module reads anew; what may lie about is released, though the
-    // reader can't be reached any more: another server is told.
-    w.platform.add("w2", Role::writer, "z", 1);
-    w.platform.next("r1", Fault::closes);
-    auto c = w.ask();
-    assert(c->whole());
-    w.at_rest();
-    assert(w.node->upstreams().release_counts().ordered > 0);
-    const std::size_t told = w.platform.count("DELETE");
-    assert(told > 0);
-    // At a reader that is gone, the next one is told.
-    w.platform.next("r1", Fault::silent);
-    auto d = w.client();
-    d->say(w.call("lost", "600"));
-    w.until("it is out", [&] { return w.node->desk().attempts_out() == 1; });
-    w.platform.kill("r1");
-    w.until("an answer", [&] { return d->status() != 0; });
-    w.at_rest();
-    assert(w.platform.count("DELETE") > told);
+void states_of_prefills_without_a_reported_end_are_released() {
+    GatewayFixture fixture;
+    // The connection to the prefill server breaks, and the dispatcher starts a new prefill. The state that
+    // the first one may have left is released, though the prefill server can't be reached any more: the
+    // release goes to another server.
+    fixture.platform.add("w2", Role::writer, "z", 1);
+    fixture.platform.next("r1", Fault::closes);
+    auto client = fixture.run_request();
+    assert(client->is_complete());
+    fixture.wait_until_idle();
+    assert(fixture.node->upstreams().release_counts().ordered > 0);
+    const std::size_t releases = fixture.platform.count("DELETE");
+    assert(releases > 0);
+    // When a prefill server is gone, the release goes to another server.
+    fixture.platform.next("r1", Fault::silent);
+    auto second_client = fixture.client();
+    second_client->say(fixture.request_text("lost", "600"));
+    fixture.wait_until("the attempt is sent", [&] { return fixture.node->desk().attempts_out() == 1; });
+    fixture.platform.kill("r1");
+    fixture.wait_until("an answer", [&] { return second_client->status() != 0; });
+    fixture.wait_until_idle();
+    assert(fixture.platform.count("DELETE") > releases);
 }
 
-void a_draining_server_gets_nothing_new() {
-    World w;
-    w.platform.add("w2", Role::writer, "z", 1);
-    w.pass(ms(50));
-    w.platform.set("w1", "draining");
-    w.pass(ms(50));
-    const std::size_t before = w.platform.count("POST", "w1");
-    for (int n = 0; n < 5; ++n) assert(w.ask()->whole());
-    assert(w.platform.count("POST", "w1") == before && w.platform.count("POST", "w2") == 5);
+void draining_server_gets_no_new_attempts() {
+    GatewayFixture fixture;
+    fixture.platform.add("w2", Role::writer, "z", 1);
+    fixture.run_for(ms(50));
+    fixture.platform.set("w1", "draining");
+    fixture.run_for(ms(50));
+    const std::size_t before = fixture.platform.count("POST", "w1");
+    for (int n = 0; n < 5; ++n) assert(fixture.run_request()->is_complete());
+    assert(fixture.platform.count("POST", "w1") == before && fixture.platform.count("POST", "w2") == 5);
 }
 
-void a_server_that_starts_anew_is_reached_at_its_new_address() {
-    World w;
-    w.platform.add("w2", Role::writer, "z", 1);
-    w.pass(ms(30));
-    while (w.platform.count("POST", "w1") == 0) assert(w.ask()->whole());
-    w.platform.kill("w1");
-    w.platform.add("w1", Role::writer, "z", 1);
-    w.pass(ms(50));
-    const std::size_t before = w.platform.count("POST", "w1");
-    // Cold, it is sent as much as its warm peer's traffic allows.
-    for (int n = 0; n < 400 && w.platform.count("POST", "w1") == before; ++n) assert(w.ask()->whole());
-    assert(w.platform.count("POST", "w1") > before);
-    assert(w.node->desk().tally().endings[static_cast<std::size_t>(Ending::unreachable)] == 0);
+void restarted_server_is_reached_at_its_new_address() {
+    GatewayFixture fixture;
+    fixture.platform.add("w2", Role::writer, "z", 1);
+    fixture.run_for(ms(30));
+    while (fixture.platform.count("POST", "w1") == 0) assert(fixture.run_request()->is_complete());
+    fixture.platform.kill("w1");
+    fixture.platform.add("w1", Role::writer, "z", 1);
+    fixture.run_for(ms(50));
+    const std::size_t before = fixture.platform.count("POST", "w1");
+    // A cold server receives only as much as the traffic of its warm peer allows.
+    for (int n = 0; n < 400 && fixture.platform.count("POST", "w1") == before; ++n)
+        assert(fixture.run_request()->is_complete());
+    assert(fixture.platform.count("POST", "w1") > before);
+    assert(fixture.node->desk().tally().endings[static_cast<std::size_t>(Ending::unreachable)] == 0);
 }
 
-void replaced_servers_give_their_index_back() {
-    World w;
+void indices_of_replaced_servers_are_reused() {
+    GatewayFixture fixture;
     for (int n = 0; n < 200; ++n) {
         const std::string name = "x" + std::to_string(n);
-        w.platform.add(name, Role::writer, "z", n % 3);
-        w.platform.add(name, Role::writer, "z", n % 3);  // as a start that is told
-        w.until("it is heard of", [&] { return w.node->knows(name); });
-        w.platform.set(name, "removed");
-        w.until("it is gone", [&] { return !w.node->knows(name); });
+        fixture.platform.add(name, Role::writer, "z", n % 3);
+        fixture.platform.add(name, Role::writer, "z", n % 3);  // announced as a restart
+        fixture.wait_until("the server is in the list", [&] { return fixture.node->knows(name); });
+        fixture.platform.set(name, "removed");
+        fixture.wait_until("the server is removed from the list", [&] { return !fixture.node->knows(name); });
     }
-    assert(w.node->server_indices() < 20);
-    assert(w.ask()->whole());
+    assert(fixture.node->server_indices() < 20);
+    assert(fixture.run_request()->is_complete());
 }
 
-void lists_that_cannot_be_read_change_nothing() {
-    for (const char* odd :
+void invalid_lists_change_nothing() {
+    for (const char* invalid_list :
          {"", "{", "[]", R"({"index":0,"snapshot":false,"endpoints":[{"name":"r1","status":"removed"}]})",
           R"({"index":99,"snapshot":true,"endpoints":[{"name":"r1"}]})"}) {
-        World w;
-        w.pass(ms(30));
-        w.platform.next_list(odd);
-        w.platform.set("w1", "up");  // brings the odd answer about
-        w.pass(ms(30));
-        assert(w.node->knows("r1") && w.node->knows("w1"));
-        assert(w.ask()->whole());
-        // And the list is followed again.
-        w.platform.add("w9", Role::writer, "z", 1);
-        w.until("a new server is heard of", [&] { return w.node->knows("w9"); });
+        GatewayFixture fixture;
+        fixture.run_for(ms(30));
+        fixture.platform.next_list(invalid_list);
+        fixture.platform.set("w1", "up");  // triggers the invalid answer
+        fixture.run_for(ms(30));
+        assert(fixture.node->knows("r1") && fixture.node->knows("w1"));
+        assert(fixture.run_request()->is_complete());
+        // The list is followed again.
+        fixture.platform.add("w9", Role::writer, "z", 1);
+        fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
     }
 }
 
-void the_list_stands_while_discovery_is_silent() {
-    World w;
-    w.pass(ms(30));
-    w.platform.discovery_is_silent(true);
-    w.platform.add("w9", Role::writer, "z", 1);
-    w.pass(ms(100));
-    assert(!w.node->knows("w9"));
-    assert(w.ask()->whole());
-    w.platform.discovery_is_silent(false);
-    w.until(
-        "it is asked again", [&] { return w.node->knows("w9"); }, ms(12000));
+void list_is_kept_while_discovery_is_silent() {
+    GatewayFixture fixture;
+    fixture.run_for(ms(30));
+    fixture.platform.discovery_is_silent(true);
+    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.run_for(ms(100));
+    assert(!fixture.node->knows("w9"));
+    assert(fixture.run_request()->is_complete());
+    fixture.platform.discovery_is_silent(false);
+    fixture.wait_until(
+        "discovery is requested again", [&] { return fixture.node->knows("w9"); }, ms(12000));
 }
 
-void other_terms_move_the_watch_and_disturb_no_query() {
-    World w;
-    standin::Platform other(w.loop, {});
+void new_settings_move_the_watch_and_affect_no_request() {
+    GatewayFixture fixture;
+    standin::Platform other(fixture.loop, {});
     other.add("r1", Role::reader, "z", 1);
-    auto c = w.client();
-    c->say(w.call("q"));
-    w.until("it is open", [&] { return w.node->desk().open_queries() == 1; });
-    w.platform.move_discovery();
+    auto client = fixture.client();
+    client->say(fixture.request_text("q"));
+    fixture.wait_until("the request is open", [&] { return fixture.node->desk().open_queries() == 1; });
+    fixture.platform.move_discovery();
     for (int n = 0; n < 3; ++n)
-        w.node->change(terms_for(w.platform.discovery().text(), w.platform.list(), 256));
-    w.platform.add("w9", Role::writer, "z", 1);
-    w.until(
-        "the new address tells", [&] { return w.node->knows("w9"); }, ms(2000));
-    w.until("its end", [&] { return c->whole(); });
-    // Terms that do not go with what is in hand change nothing.
+        fixture.node->change(terms_for(fixture.platform.discovery().text(), fixture.platform.list(), 256));
+    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.wait_until(
+        "the list of the new address is applied", [&] { return fixture.node->knows("w9"); }, ms(2000));
+    fixture.wait_until("the stream's end", [&] { return client->is_complete(); });
+    // Settings that contradict those in use are ignored.
     std::string swapped = kSettings;
     swapped.replace(swapped.find(R"(["read","write"])"), 16, R"(["write","read"])");
-    w.node->change(terms_for(w.platform.discovery().text(), w.platform.list(), 256, swapped));
-    assert(w.ask()->whole());
+    fixture.node->change(
+        terms_for(fixture.platform.discovery().text(), fixture.platform.list(), 256, swapped));
+    assert(fixture.run_request()->is_complete());
 }
 
-void a_stop_lets_what_was_taken_end() {
+void accepted_requests_are_completed_at_a_stop() {
     standin::Platform::Shape slow;
     slow.read = ms(200);
     slow.first = ms(200);
     slow.gap = ms(200);
-    World w(256, slow);
-    auto idle = w.client(), c = w.client();
+    GatewayFixture fixture(256, slow);
+    auto idle = fixture.client(), client = fixture.client();
     idle->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    c->say(w.call("open"));
-    w.until("it is open", [&] { return w.node->desk().open_queries() == 1 && idle->status() == 200; });
-    w.node->stop();
-    w.node->stop();
-    w.until(
-        "the idle one is closed", [&] { return idle->closed; }, ms(200));
-    // For a moment new ones are still taken, and told to be the last.
-    auto late = w.client(), asks = w.client();
-    late->say(w.call("late"));
-    asks->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    w.until("not ready", [&] { return asks->status() == 503; });
-    w.until("both end whole", [&] { return c->whole() && late->whole(); });
-    assert(late->heard.find("Connection: close") != std::string::npos);
-    w.until("they are closed", [&] { return c->closed && late->closed; });
-    w.loop.run();  // until it has stopped by itself
-    assert(w.node->desk().open_queries() == 0 && w.platform.states() == 0);
+    client->say(fixture.request_text("open"));
+    fixture.wait_until("the request is open",
+                       [&] { return fixture.node->desk().open_queries() == 1 && idle->status() == 200; });
+    fixture.node->stop();
+    fixture.node->stop();
+    fixture.wait_until(
+        "the idle connection is closed", [&] { return idle->closed; }, ms(200));
+    // For a short time new connections are still accepted, and their answers say "Connection: close".
+    auto late = fixture.client(), health_check = fixture.client();
+    late->say(fixture.request_text("late"));
+    health_check->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    fixture.wait_until("not ready", [&] { return health_check->status() == 503; });
+    fixture.wait_until("both streams are complete",
+                       [&] { return client->is_complete() && late->is_complete(); });
+    assert(late->received.find("Connection: close") != std::string::npos);
+    fixture.wait_until("both connections are closed", [&] { return client->closed && late->closed; });
+    fixture.loop.run();  // until the gateway stops the loop
+    assert(fixture.node->desk().open_queries() == 0 && fixture.platform.states() == 0);
 }
 
-void a_client_that_reads_slowly_holds_up_its_own_stream_alone() {
+void slow_client_delays_only_its_own_stream() {
     standin::Platform::Shape endless;
     endless.events = 200000;
     endless.gap = {0};
-    World w(256, endless);
-    auto slow = w.client();
-    slow->say(w.call("slow"));
-    w.until("it streams", [&] { return slow->status() == 200; });
+    GatewayFixture fixture(256, endless);
+    auto slow = fixture.client();
+    slow->say(fixture.request_text("slow"));
+    fixture.wait_until("the stream has begun", [&] { return slow->status() == 200; });
     slow->stream->pause_reading(true);
-    // Its server is not read from any more once the bound is reached, so what waits for it stays small: the
-    // bound, and what one turn brings.
+    // Once the limit is reached the gateway reads no more from the server, so the unsent bytes stay small:
+    // the limit, and what one loop iteration adds.
     const std::size_t bound = ClientConnections::Bounds{}.unsent_bytes;
-    w.until("something waits", [&] { return w.node->clients().unsent() > bound; });
+    fixture.wait_until("more than the limit is unsent",
+                       [&] { return fixture.node->clients().unsent() > bound; });
     for (int n = 0; n < 15; ++n) {
-        w.pass(ms(100));
-        assert(w.node->clients().unsent() < 3 * bound);
+        fixture.run_for(ms(100));
+        assert(fixture.node->clients().unsent() < 3 * bound);
     }
-    assert(w.node->desk().open_queries() == 1);
+    assert(fixture.node->desk().open_queries() == 1);
     slow->leave();
-    w.until("it is over", [&] { return w.node->desk().open_queries() == 0; });
+    fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
 }
 
-// What the module believes, beside what crossed the sockets.
-void beliefs_agree_with_the_sockets() {
-    World w;
-    for (int n = 0; n < 20; ++n) assert(w.ask()->whole());
-    const Tally& t = w.node->desk().tally();
-    assert(t.reads == w.platform.count("POST", "r1") && t.writes == w.platform.count("POST", "w1"));
+// The dispatcher's counters compared with what crossed the sockets.
+void counters_agree_with_the_sockets() {
+    GatewayFixture fixture;
+    for (int n = 0; n < 20; ++n) assert(fixture.run_request()->is_complete());
+    const Tally& t = fixture.node->desk().tally();
+    assert(t.reads == fixture.platform.count("POST", "r1") &&
+           t.writes == fixture.platform.count("POST", "w1"));
     assert(t.reads == 20 && t.writes == 20 && t.settled == 20 && t.releases == 0);
     assert(t.endings[static_cast<std::size_t>(Ending::read)] == 20);
     assert(t.endings[static_cast<std::size_t>(Ending::settled)] == 20);
-    assert(w.node->upstreams().attempts() == 0 && w.platform.connections() == 2);
-    assert(w.platform.count("DELETE") == 0 && w.platform.states() == 0);
+    assert(fixture.node->upstreams().attempts() == 0 && fixture.platform.connections() == 2);
+    assert(fixture.platform.count("DELETE") == 0 && fixture.platform.states() == 0);
 }
 
 }  // namespace
 
 int main() {
     setvbuf(stderr, nullptr, _IOLBF, 0);
-    a_calm_call_is_passed_on_unchanged_and_its_stream_comes_back_whole();
-    each_outcome_is_told_apart();
-    what_was_never_sent_is_told_from_what_may_have_run();
-    a_connection_that_never_comes_up_was_never_sent();
-    good_streams_that_bring_more_than_belongs_to_them_are_good();
-    a_stream_that_is_spoilt_after_its_first_event_ends_without_its_last_chunk();
-    a_stream_that_rests_longer_than_its_client_would_have_waited_goes_on();
-    a_client_that_leaves_takes_its_attempt_and_its_state_with_it();
-    an_id_that_is_open_is_refused_and_the_open_one_left_alone();
-    calls_that_cannot_be_read_get_an_error_and_nothing_is_passed_on();
-    half_a_call_and_silence_are_ended_in_time();
-    connections_by_the_hundreds_that_say_nothing_do_not_keep_others_out();
-    more_calls_than_there_are_connections_for_are_told_to_come_back();
-    out_of_descriptors_it_waits_and_goes_on();
-    a_reset_on_a_kept_connection_is_the_last_one_there();
-    pipelined_calls_are_answered_in_their_turn();
-    states_whose_read_was_not_heard_to_end_are_let_go();
-    a_draining_server_gets_nothing_new();
-    a_server_that_starts_anew_is_reached_at_its_new_address();
-    replaced_servers_give_their_index_back();
-    lists_that_cannot_be_read_change_nothing();
-    the_list_stands_while_discovery_is_silent();
-    other_terms_move_the_watch_and_disturb_no_query();
-    a_stop_lets_what_was_taken_end();
-    a_client_that_reads_slowly_holds_up_its_own_stream_alone();
-    beliefs_agree_with_the_sockets();
+    request_is_forwarded_unchanged_and_its_stream_is_returned_complete();
+    each_outcome_is_classified();
+    attempt_never_sent_is_distinguished_from_one_that_may_have_run();
+    attempt_without_an_established_connection_counts_as_never_sent();
+    valid_streams_with_extra_messages_are_accepted();
+    stream_that_fails_after_its_first_event_ends_without_the_last_chunk();
+    stream_that_pauses_longer_than_the_time_left_continues();
+    disconnect_cancels_the_attempt_and_releases_the_state();
+    duplicate_of_an_open_id_is_refused_and_the_open_request_continues();
+    invalid_requests_get_an_error_and_nothing_is_forwarded();
+    incomplete_requests_and_silent_connections_are_closed_in_time();
+    hundreds_of_silent_connections_do_not_block_others();
+    requests_beyond_the_connection_limit_are_rejected();
+    gateway_recovers_when_descriptors_run_out();
+    reset_on_an_idle_connection_closes_the_other_idle_ones();
+    pipelined_requests_are_answered_in_order();
+    states_of_prefills_without_a_reported_end_are_released();
+    draining_server_gets_no_new_attempts();
+    restarted_server_is_reached_at_its_new_address();
+    indices_of_replaced_servers_are_reused();
+    invalid_lists_change_nothing();
+    list_is_kept_while_discovery_is_silent();
+    new_settings_move_the_watch_and_affect_no_request();
+    accepted_requests_are_completed_at_a_stop();
+    slow_client_delays_only_its_own_stream();
+    counters_agree_with_the_sockets();
 }
--- a/tests/node/pipelined_test.cpp
+++ b/tests/node/pipelined_test.cpp
@@ -1,59 +1,61 @@
-// Requests that wait on their connection behind an earlier one, or in the system while the loop is behind:
-// their time runs from when they came.
+// Requests that wait on their connection behind an earlier one, or unread in the socket while the loop is
+// late: their time runs from their arrival.
 #include <chrono>
 #include <thread>
 
-#include "scripted_world.h"
+#include "scripted_gateway_fixture.h"
 
 namespace copperfront {
 namespace {
 
-constexpr std::int64_t kToldSlackMs = 150;
+constexpr std::int64_t kTimeLeftSlackMs = 150;
 
-std::int64_t told_ms(const ScriptedServer::Request& request) {
-    const std::string* const told = request.head.find("X-Time-Left-Ms");
-    return told != nullptr ? std::atoll(told->c_str()) : -1;
+std::int64_t time_left_ms(const ScriptedServer::Request& request) {
+    const std::string* const time_left = request.head.find("X-Time-Left-Ms");
+    return time_left != nullptr ? std::atoll(time_left->c_str()) : -1;
 }
 
-TEST(RequestBehindAnother, TellsServersWhatIsLeftSinceItCame) {
-    ScriptedWorld w;
-    auto client = w.client();
-    const std::string first = w.call(w.fresh(), "2000"), second = w.call(w.fresh(), "2000");
+TEST(RequestBehindAnother, SendsServersTheTimeLeftSinceItsArrival) {
+    ScriptedGatewayFixture fixture;
+    auto client = fixture.client();
+    const std::string first = fixture.request_text(fixture.new_request_id(), "2000"),
+                      second = fixture.request_text(fixture.new_request_id(), "2000");
     client->say(first + second);
-    const Instant sent = w.loop.now();
-    w.prefill.send(w.wait_for_post(w.prefill, 1), prefill_response());
-    const auto writing = w.wait_for_post(w.decode, 1);
-    w.pass(ms(500));
-    w.decode.send(writing, whole_stream("first"));
-    w.wait_for_post(w.prefill, 2);
-    const std::int64_t left = 2000 - static_cast<std::int64_t>((w.loop.now() - sent).ms());
-    EXPECT_LE(told_ms(w.last(w.prefill)), left + kToldSlackMs);
+    const Instant sent = fixture.loop.now();
+    fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
+    const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
+    fixture.run_for(ms(500));
+    fixture.decode.send(decode_connection, whole_stream("first"));
+    fixture.wait_for_post(fixture.prefill, 2);
+    const std::int64_t left = 2000 - static_cast<std::int64_t>((fixture.loop.now() - sent).ms());
+    EXPECT_LE(time_left_ms(fixture.last_request(fixture.prefill)), left + kTimeLeftSlackMs);
 }
 
-// Nothing is sent for one whose time is over before its turn comes, and it is told at once.
+// A request whose time is over before its turn is rejected at once, and nothing is sent for it.
 TEST(RequestBehindAnother, IsRejectedOnceItsTimeIsOver) {
-    ScriptedWorld w;
-    auto client = w.client();
-    client->say(w.call(w.fresh(), "2000") + w.call(w.fresh(), "300"));
-    w.prefill.send(w.wait_for_post(w.prefill, 1), prefill_response());
-    const auto writing = w.wait_for_post(w.decode, 1);
-    w.pass(ms(600));
-    w.decode.send(writing, whole_stream("first"));
-    w.until("both answers", [&] { return client->answers() == 2; });
-    EXPECT_NE(client->heard.find("HTTP/1.1 503"), std::string::npos);
-    EXPECT_EQ(w.prefill.count("POST"), 1u);
+    ScriptedGatewayFixture fixture;
+    auto client = fixture.client();
+    client->say(fixture.request_text(fixture.new_request_id(), "2000") +
+                fixture.request_text(fixture.new_request_id(), "300"));
+    fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
+    const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
+    fixture.run_for(ms(600));
+    fixture.decode.send(decode_connection, whole_stream("first"));
+    fixture.wait_until("both answers", [&] { return client->response_count() == 2; });
+    EXPECT_NE(client->received.find("HTTP/1.1 503"), std::string::npos);
+    EXPECT_EQ(fixture.prefill.count("POST"), 1u);
 }
 
-// Against a loop that is behind, or a process that was stopped, and takes a request for new.
-TEST(RequestThatLayUnread, TellsServersWhatIsLeftSinceItCame) {
+// Guards against treating a request as new after the loop was late or the process was stopped.
+TEST(RequestUnreadInTheSocket, SendsServersTheTimeLeftSinceItsArrival) {
     for (const bool on_new_connection : {true, false}) {
-        ScriptedWorld w;
-        auto client = std::make_unique<RawClient>(w.node->address());
-        if (!on_new_connection) w.pass(ms(50));
-        client->say(w.call(w.fresh(), "2000"));
+        ScriptedGatewayFixture fixture;
+        auto client = std::make_unique<RawClient>(fixture.node->address());
+        if (!on_new_connection) fixture.run_for(ms(50));
+        client->say(fixture.request_text(fixture.new_request_id(), "2000"));
         std::this_thread::sleep_for(std::chrono::milliseconds(500));
-        w.wait_for_post(w.prefill, 1);
-        EXPECT_LE(told_ms(w.last(w.prefill)), 2000 - 500 + kToldSlackMs);
+        fixture.wait_for_post(fixture.prefill, 1);
+        EXPECT_LE(time_left_ms(fixture.last_request(fixture.prefill)), 2000 - 500 + kTimeLeftSlackMs);
     }
 }
 
--- a/tests/node/raw_client.h
+++ b/tests/node/raw_client.h
@@ -1,5 +1,5 @@
-// A client on a plain blocking-connect socket. What it sends lies in the system at once, before the event
-// loop has come to it, so that a test can put bytes or an end between two steps of the gateway.
+// A client on a plain socket that connects synchronously. What it sends is in the kernel's buffers at once,
+// before the event loop runs, so that a test can place bytes or a close between two steps of the gateway.
 #pragma once
 
 #include <fcntl.h>
@@ -18,11 +18,11 @@
 
 class RawClient {
   public:
-    enum class Buffers { usual, small };
+    enum class Buffers { normal, small };
 
-    // With small buffers and segments here, the sender's are small as well, and most of a large answer stays
+    // Small buffers and segments here keep the sender's small as well, so that most of a large answer stays
     // with the gateway while nothing is read.
-    explicit RawClient(const Address& to, Buffers buffers = Buffers::usual) {
+    explicit RawClient(const Address& to, Buffers buffers = Buffers::normal) {
         if (buffers == Buffers::small) {
             const int segment = 536, bytes = 2048;
             setsockopt(fd_, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
@@ -46,36 +46,37 @@
         assert(written == static_cast<ssize_t>(text.size()));
         (void)written;
     }
-    // Sends an end and stays to read.
-    void end_sending() const { shutdown(fd_, SHUT_WR); }
+    // Closes the sending direction; answers can still be read.
+    void half_close() const { shutdown(fd_, SHUT_WR); }
     void leave() {
         close(fd_);
         fd_ = -1;
     }
-    // The peer sees a reset instead of an end.
+    // Closes the connection so that the peer sees a reset instead of a graceful close.
     void reset() {
         const linger now{1, 0};
         setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
         leave();
     }
 
-    // Bytes that have come since the last call; -1: the connection was reset. `ended`: its end has come.
-    std::ptrdiff_t hear(bool& ended, std::size_t most = 1 << 20) {
-        std::string bytes(most, 0);
+    // Returns the number of bytes received since the last call, or -1 if the connection was reset. `ended`:
+    // the peer has closed the connection.
+    std::ptrdiff_t receive(bool& ended, std::size_t max_bytes = 1 << 20) {
+        std::string bytes(max_bytes, 0);
         const ssize_t n = read(fd_, bytes.data(), bytes.size());
         ended = n == 0;
-        if (n > 0) heard_.append(bytes, 0, static_cast<std::size_t>(n));
+        if (n > 0) received_.append(bytes, 0, static_cast<std::size_t>(n));
         if (n >= 0) return n;
         return errno == EAGAIN ? 0 : -1;
     }
-    // All that has come so far, this call's included.
+    // All bytes received so far, including what this call reads.
     const std::string& heard() {
         bool ended = false;
-        while (hear(ended) > 0) {
+        while (receive(ended) > 0) {
         }
-        was_reset_ = was_reset_ || (!ended && hear(ended) < 0);
+        was_reset_ = was_reset_ || (!ended && receive(ended) < 0);
         has_ended_ = has_ended_ || ended;
-        return heard_;
+        return received_;
     }
     bool has_ended() {
         heard();
@@ -88,7 +89,7 @@
 
   private:
     int fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    std::string heard_;
+    std::string received_;
     bool has_ended_ = false, was_reset_ = false;
 };
 
--- a/tests/node/release_proof_test.cpp
+++ b/tests/node/release_proof_test.cpp
@@ -1,66 +1,68 @@
-// A release proves something only of what no attempt waits for any more. What counts is when a running server
-// reads one after the end of every attempt of its request.
+// Guards against counting a release as proof that a state is gone while an attempt of its request still waits
+// for that state. What counts is when a running server reads a release after the end of every attempt of the
+// request.
 #include <algorithm>
 
-#include "held_state_world.h"
+#include "held_state_fixture.h"
 
 namespace copperfront {
 namespace {
 
-// Reads releases until one has come that was sent after `attempt_over`; a release while an attempt of its
-// request waits for the state lets go of nothing.
-bool releases_after(const ScriptedServer& server, Instant attempt_over) {
+// Whether the server has received a release after `attempt_ended`. A release frees nothing while an attempt
+// of its request waits for the state.
+bool releases_after(const ScriptedServer& server, Instant attempt_ended) {
     return std::any_of(server.requests().begin(), server.requests().end(), [&](const auto& request) {
-        return request.head.method == "DELETE" && request.received_at >= attempt_over;
+        return request.head.method == "DELETE" && request.received_at >= attempt_ended;
     });
 }
 
-// A decode server that runs takes the hand-over and never answers it. Up to the attempt's end a release lets
-// go of nothing; the time of the state starts again with that end.
-TEST(ReleaseProof, IsReleasedOnceAHandOverThatWasTakenHasEnded) {
+// A running decode server accepts the hand-over and never answers it. Until the attempt ends, a release frees
+// nothing; the time limit of the state starts again when the attempt ends.
+TEST(ReleaseProof, IsReleasedOnceAnAcceptedHandOverHasEnded) {
     for (const char* const effect : {"repeatable", "once"}) {
         for (const bool head_sent : {false, true}) {
-            HeldStateWorld w(settings_with_effect(effect));
-            auto client = w.client();
-            client->say(w.call(w.fresh(), "1800"));
-            w.end_prefill();
-            const auto taken = w.wait_for_post(w.decode, 1);
-            if (head_sent) w.decode.send(taken, stream_start());
-            w.until("the attempt's end at its server", [&] {
-                w.releases();
-                return !w.decode.is_open(taken);
+            HeldStateFixture fixture(settings_with_effect(effect));
+            auto client = fixture.client();
+            client->say(fixture.request_text(fixture.new_request_id(), "1800"));
+            fixture.complete_prefill();
+            const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
+            if (head_sent) fixture.decode.send(decode_connection, stream_start());
+            fixture.wait_until("the attempt's end at its server", [&] {
+                fixture.answer_and_count_releases();
+                return !fixture.decode.is_open(decode_connection);
             });
-            const Instant over = w.loop.now();
+            const Instant attempt_ended = fixture.loop.now();
             bool released = false;
-            w.until("the time of the state", [&] {
-                w.releases();
-                released = releases_after(w.prefill, over) || releases_after(w.decode, over);
-                return released || w.loop.now() - over > kHeldAtMost;
+            fixture.wait_until("a release, or the time limit of the state", [&] {
+                fixture.answer_and_count_releases();
+                released = releases_after(fixture.prefill, attempt_ended) ||
+                           releases_after(fixture.decode, attempt_ended);
+                return released || fixture.loop.now() - attempt_ended > kMaxHoldTime;
             });
             EXPECT_TRUE(released) << effect << (head_sent ? ", head sent" : ", silent");
         }
     }
 }
 
-// A prefill server has read the prompt, and of its answer only a part comes. The gateway has only just
-// started, so it does not know yet how long prefills usually take.
-TEST(ReleaseProof, IsReleasedWhenAPrefillAnswerStaysHalfSent) {
-    const std::string whole = prefill_response();
+// A prefill server has processed the prompt, but only a part of its answer arrives. The gateway has just
+// started and does not know yet how long prefills usually take.
+TEST(ReleaseProof, IsReleasedWhenAPrefillAnswerStaysIncomplete) {
+    const std::string answer = prefill_response();
     const std::string error = response_of(500, "", "something went wrong");
     const std::pair<const char*, std::string> parts[] = {
-        {"twelve bytes", whole.substr(0, 12)},
-        {"all but its last byte", whole.substr(0, whole.size() - 1)},
+        {"twelve bytes", answer.substr(0, 12)},
+        {"all but its last byte", answer.substr(0, answer.size() - 1)},
         {"100 Continue", "HTTP/1.1 100 Continue\r\n\r\n"},
         {"half an error", error.substr(0, error.size() - 5)},
     };
     for (const auto& [name, part] : parts) {
-        HeldStateWorld w(settings_with_effect("once"));
-        auto client = w.client();
-        client->say(w.call(w.fresh(), "4000"));
-        w.prefill.send(w.wait_for_post(w.prefill, 1), part);
-        const Instant ended = w.loop.now();
-        w.until("a release", [&] { return w.releases() > 0; });
-        EXPECT_LE((w.loop.now() - ended).ms(), kHeldAtMost.ms()) << name;
+        HeldStateFixture fixture(settings_with_effect("once"));
+        auto client = fixture.client();
+        client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+        fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), part);
+        const Instant ended = fixture.loop.now();
+        fixture.wait_until("a release", [&] { return fixture.answer_and_count_releases() > 0; });
+        EXPECT_LE((fixture.loop.now() - ended).ms(), kMaxHoldTime.ms()) << name;
     }
 }
 
--- a/tests/node/retries_test.cpp
+++ b/tests/node/retries_test.cpp
@@ -1,205 +1,209 @@
-// Attempts that cross with answers, resets, late connections and clients that leave. Both sides are held at
-// known points and let go in the bad order; what counts is what crossed the sockets.
-#include "scripted_world.h"
+// Guards against wrong or duplicate attempts when answers, resets, late connections and client disconnects
+// coincide. Both sides are held at known points and then continued in the unfavourable order; the checks look
+// at what crossed the sockets.
+#include "scripted_gateway_fixture.h"
 
 namespace copperfront {
 namespace {
 
 // ---- pooled connections
 
-// Bytes that come on a resting connection belong to nobody: the next request must not take them for its
+// Bytes that arrive on an idle connection belong to no request: the next one must not take them for its
 // answer.
-TEST(PooledConnection, LateSecondAnswerIsNotTakenForTheNextOne) {
-    ScriptedWorld w;
-    auto first = w.client();
-    const auto used = w.up_to_decode(*first);
-    w.decode.send(used, whole_stream("mine"));
-    w.until("the first answer", [&] { return first->whole(); });
-    w.decode.send(used, whole_stream("stolen"));
-    w.pass(ms(20));
-    auto second = w.client();
-    const auto next = w.up_to_decode(*second, 2);
+TEST(PooledConnection, LateDuplicateAnswerIsNotTakenForTheNextOne) {
+    ScriptedGatewayFixture fixture;
+    auto first = fixture.client();
+    const auto used = fixture.advance_to_decode(*first);
+    fixture.decode.send(used, whole_stream("mine"));
+    fixture.wait_until("the first answer", [&] { return first->is_complete(); });
+    fixture.decode.send(used, whole_stream("stolen"));
+    fixture.run_for(ms(20));
+    auto second = fixture.client();
+    const auto next = fixture.advance_to_decode(*second, 2);
     EXPECT_NE(next, used);
-    w.decode.send(next, whole_stream("yours"));
-    w.until("the second answer", [&] { return second->whole(); });
-    EXPECT_EQ(second->heard.find("stolen"), std::string::npos);
-    EXPECT_NE(second->heard.find("yours"), std::string::npos);
+    fixture.decode.send(next, whole_stream("yours"));
+    fixture.wait_until("the second answer", [&] { return second->is_complete(); });
+    EXPECT_EQ(second->received.find("stolen"), std::string::npos);
+    EXPECT_NE(second->received.find("yours"), std::string::npos);
 }
 
-// The same, the late bytes not read yet when the connection is taken.
-TEST(PooledConnection, BytesUnreadInTheSystemDisqualifyIt) {
+// The same where the late bytes are not read yet when a connection is chosen.
+TEST(PooledConnection, UnreadBytesInTheSocketDisqualifyIt) {
     for (const std::string& late : {whole_stream("stolen"), std::string("HTT")}) {
-        ScriptedWorld w;
-        auto first = w.client();
-        const auto used = w.up_to_decode(*first);
-        w.decode.send(used, whole_stream("mine"));
-        w.until("the first answer", [&] { return first->whole(); });
-        auto second = w.client();
-        second->say(w.call(w.fresh()));
-        const auto reading = w.wait_for_post(w.prefill, 2);
-        // Both are written within one turn of the loop, the late bytes first.
-        w.decode.send(used, late);
-        w.prefill.send(reading, prefill_response());
-        const auto next = w.wait_for_post(w.decode, 2);
+        ScriptedGatewayFixture fixture;
+        auto first = fixture.client();
+        const auto used = fixture.advance_to_decode(*first);
+        fixture.decode.send(used, whole_stream("mine"));
+        fixture.wait_until("the first answer", [&] { return first->is_complete(); });
+        auto second = fixture.client();
+        second->say(fixture.request_text(fixture.new_request_id()));
+        const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
+        // Both are written in one iteration of the loop, the late bytes first.
+        fixture.decode.send(used, late);
+        fixture.prefill.send(prefill_connection, prefill_response());
+        const auto next = fixture.wait_for_post(fixture.decode, 2);
         EXPECT_NE(next, used);
-        w.decode.send(next, whole_stream("yours"));
-        w.until("the second answer", [&] { return second->whole(); });
-        EXPECT_EQ(second->heard.find("stolen"), std::string::npos);
+        fixture.decode.send(next, whole_stream("yours"));
+        fixture.wait_until("the second answer", [&] { return second->is_complete(); });
+        EXPECT_EQ(second->received.find("stolen"), std::string::npos);
     }
 }
 
-// A connection that the server has closed while it rested costs no attempt.
-TEST(PooledConnection, ClosedWhileRestingIsNotUsed) {
+// A connection that the server closed while it was idle must not cost an attempt.
+TEST(PooledConnection, ClosedWhileIdleIsNotUsed) {
     for (const bool reset : {false, true}) {
-        ScriptedWorld w;
-        auto first = w.client();
-        const auto used = w.up_to_decode(*first);
-        w.decode.send(used, whole_stream("mine"));
-        w.until("the first answer", [&] { return first->whole(); });
-        auto second = w.client();
-        second->say(w.call(w.fresh()));
-        const auto reading = w.wait_for_post(w.prefill, 2);
-        reset ? w.decode.reset(used) : w.decode.close(used);
-        w.prefill.send(reading, prefill_response());
-        const auto next = w.wait_for_post(w.decode, 2);
+        ScriptedGatewayFixture fixture;
+        auto first = fixture.client();
+        const auto used = fixture.advance_to_decode(*first);
+        fixture.decode.send(used, whole_stream("mine"));
+        fixture.wait_until("the first answer", [&] { return first->is_complete(); });
+        auto second = fixture.client();
+        second->say(fixture.request_text(fixture.new_request_id()));
+        const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
+        reset ? fixture.decode.reset(used) : fixture.decode.close(used);
+        fixture.prefill.send(prefill_connection, prefill_response());
+        const auto next = fixture.wait_for_post(fixture.decode, 2);
         EXPECT_NE(next, used);
-        w.decode.send(next, whole_stream("yours"));
-        w.until("the second answer", [&] { return second->whole(); });
-        EXPECT_EQ(w.node->desk().tally().endings[static_cast<std::size_t>(Ending::broken)], 0u);
+        fixture.decode.send(next, whole_stream("yours"));
+        fixture.wait_until("the second answer", [&] { return second->is_complete(); });
+        EXPECT_EQ(fixture.node->desk().tally().endings[static_cast<std::size_t>(Ending::broken)], 0u);
     }
 }
 
-// A server may send an answer twice, the second some milliseconds late: its connection is not used again
-// within these, as nothing tells the two apart once the next request has been written.
-TEST(PooledConnection, RestsBeforeItIsUsedAgain) {
-    ScriptedWorld w;
-    auto first = w.client();
-    const auto used = w.up_to_decode(*first);
-    w.decode.send(used, whole_stream("mine"));
-    w.until("the first answer", [&] { return first->whole(); });
-    auto second = w.client();
-    const auto at_once = w.up_to_decode(*second, 2);
-    EXPECT_NE(at_once, used);
-    w.decode.send(at_once, whole_stream("yours"));
-    w.until("the second answer", [&] { return second->whole(); });
-    w.pass(ms(100));
-    auto third = w.client();
-    const auto later = w.up_to_decode(*third, 3);
-    EXPECT_TRUE(later == used || later == at_once);
-    w.decode.send(later, whole_stream("later"));
-    w.until("the third answer", [&] { return third->whole(); });
+// A server may send an answer twice, the second some milliseconds late. The connection is not reused within
+// that time, as the late answer can't be told from the right one after the next request has been written.
+TEST(PooledConnection, IsNotReusedImmediately) {
+    ScriptedGatewayFixture fixture;
+    auto first = fixture.client();
+    const auto used = fixture.advance_to_decode(*first);
+    fixture.decode.send(used, whole_stream("mine"));
+    fixture.wait_until("the first answer", [&] { return first->is_complete(); });
+    auto second = fixture.client();
+    const auto immediate = fixture.advance_to_decode(*second, 2);
+    EXPECT_NE(immediate, used);
+    fixture.decode.send(immediate, whole_stream("yours"));
+    fixture.wait_until("the second answer", [&] { return second->is_complete(); });
+    fixture.run_for(ms(100));
+    auto third = fixture.client();
+    const auto later = fixture.advance_to_decode(*third, 3);
+    EXPECT_TRUE(later == used || later == immediate);
+    fixture.decode.send(later, whole_stream("later"));
+    fixture.wait_until("the third answer", [&] { return third->is_complete(); });
 }
 
-// ---- repeats
+// ---- retries
 
-// A class whose repeats are known for 200 ms: the further attempt's connection comes up after that.
-TEST(RepeatWindow, AttemptIsNotWrittenOnceItHasPassed) {
+// The service class recognises repeats for 200 ms: the retry's connection is established after that.
+TEST(RepeatWindow, AttemptIsNotSentOnceItHasPassed) {
     std::string settings = settings_with_effect("by_key", R"(,"key-scope":"all","window-ms":200)");
-    // No limit on connecting of their own, or the window would leave no time for one.
+    // Without a connect timeout, as the window would leave no time for one.
     settings = with_setting(settings, R"("connect-timeout-ms":250)", R"("connect-timeout-ms":0)");
     settings = with_setting(settings, R"("release-ms":1000)", R"("release-ms":5000)");
-    ScriptedWorld w(settings);
-    auto client = w.client();
-    const auto used = w.up_to_decode(*client, 1, "4000", "repeated");
-    // The other decode server's listener takes no connection yet.
+    ScriptedGatewayFixture fixture(settings);
+    auto client = fixture.client();
+    const auto used = fixture.advance_to_decode(*client, 1, "4000", "repeated");
+    // The other decode server accepts no connections yet.
     auto stalled = std::make_unique<StalledListener>();
-    w.platform.add("w2", Role::writer, "z", 1);
-    w.platform.point("w2", stalled->address());
-    w.platform.set("w1", "draining");
-    w.wait_for_list();
-    w.decode.reset(used);
-    // The state may have gone with the reset, so the prompt is read again first.
-    w.prefill.send(w.wait_for_post(w.prefill, 2), prefill_response());
-    w.until("the further attempt waits for its connection",
-            [&] { return w.node->desk().tally().writes == 2 && w.node->upstreams().attempts() == 1; });
-    w.pass(ms(400));
+    fixture.platform.add("w2", Role::writer, "z", 1);
+    fixture.platform.point("w2", stalled->address());
+    fixture.platform.set("w1", "draining");
+    fixture.wait_for_list();
+    fixture.decode.reset(used);
+    // The state may be lost with the reset, so a new prefill comes first.
+    fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 2), prefill_response());
+    fixture.wait_until("the retry waits for its connection", [&] {
+        return fixture.node->desk().tally().writes == 2 && fixture.node->upstreams().attempts() == 1;
+    });
+    fixture.run_for(ms(400));
     stalled->accept_all();
-    w.until("a final answer", [&] { return client->status() != 0; });
-    w.pass(ms(1500));
-    EXPECT_EQ(stalled->heard().find("POST "), std::string::npos) << "sent after the window";
-    EXPECT_EQ(client->answers(), 1u);
+    fixture.wait_until("a final answer", [&] { return client->status() != 0; });
+    fixture.run_for(ms(1500));
+    EXPECT_EQ(stalled->received().find("POST "), std::string::npos) << "sent after the window";
+    EXPECT_EQ(client->response_count(), 1u);
 }
 
-// What may take effect once only is never sent again once its last byte was written.
-TEST(NonIdempotent, ResetAfterTheLastByteEndsIt) {
-    ScriptedWorld w(settings_with_effect("once"));
-    auto client = w.client();
-    const auto used = w.up_to_decode(*client);
-    w.decode.reset(used);
-    w.until("a final answer", [&] { return client->status() != 0; });
+// A request that may take effect only once is never sent again after its last byte was written.
+TEST(NonIdempotent, ResetAfterTheLastByteEndsTheRequest) {
+    ScriptedGatewayFixture fixture(settings_with_effect("once"));
+    auto client = fixture.client();
+    const auto used = fixture.advance_to_decode(*client);
+    fixture.decode.reset(used);
+    fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     EXPECT_EQ(client->status(), 504);
-    w.pass(ms(100));
-    EXPECT_EQ(w.decode.count("POST"), 1u);
+    fixture.run_for(ms(100));
+    EXPECT_EQ(fixture.decode.count("POST"), 1u);
 }
 
-// The connection breaks with a part of the message written: it never ran, so any class may go again.
-TEST(NonIdempotent, ResetBeforeTheLastByteIsSentAgain) {
-    ScriptedWorld w(settings_with_effect("once"));
-    StalledReader half;
-    w.platform.point("r1", half.address());
-    w.wait_for_list();
-    auto client = w.client();
-    // More than the buffers between the two hold, so that its last byte stays here.
-    client->say(w.call_with_content(w.fresh(), std::string(200 << 10, 'x')));
-    w.until("a part is written", [&] { return half.has_bytes(); });
-    w.pass(ms(30));
-    w.platform.point("r1", w.prefill.address());
-    w.wait_for_list();
-    half.reset();
-    w.prefill.send(w.wait_for_post(w.prefill, 1), prefill_response());
-    w.decode.send(w.wait_for_post(w.decode, 1), whole_stream("whole"));
-    w.until("the answer", [&] { return client->whole(); });
+// The connection breaks when a part of the message is written: the request never ran, so a retry is allowed
+// for any service class.
+TEST(NonIdempotent, ResetBeforeTheLastByteIsRetried) {
+    ScriptedGatewayFixture fixture(settings_with_effect("once"));
+    NonReadingServer non_reading;
+    fixture.platform.point("r1", non_reading.address());
+    fixture.wait_for_list();
+    auto client = fixture.client();
+    // More than the socket buffers hold, so that the last byte stays in the gateway.
+    client->say(fixture.request_text_with_content(fixture.new_request_id(), std::string(200 << 10, 'x')));
+    fixture.wait_until("a part of the request is written", [&] { return non_reading.has_bytes(); });
+    fixture.run_for(ms(30));
+    fixture.platform.point("r1", fixture.prefill.address());
+    fixture.wait_for_list();
+    non_reading.reset();
+    fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
+    fixture.decode.send(fixture.wait_for_post(fixture.decode, 1), whole_stream("whole"));
+    fixture.wait_until("the answer", [&] { return client->is_complete(); });
 }
 
-// ---- attempts that are called off
+// ---- cancelled attempts
 
-// A server that hangs reads later what lies in its socket. A reset takes the request back, an end in good
-// order would leave it there, to run after a further attempt.
-TEST(CalledOff, ConnectionIsReset) {
-    ScriptedWorld w;
-    RawClient client(w.node->address());
-    client.say(w.call(w.fresh()));
-    const auto reading = w.wait_for_post(w.prefill, 1);
+// A hung server reads later what is in its socket. A reset withdraws the request; a graceful close would
+// leave it there, to run after a further attempt.
+TEST(CancelledAttempt, ConnectionIsReset) {
+    ScriptedGatewayFixture fixture;
+    RawClient client(fixture.node->address());
+    client.say(fixture.request_text(fixture.new_request_id()));
+    const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     client.leave();
-    w.until("the server sees its end", [&] { return !w.prefill.is_open(reading); });
-    EXPECT_EQ(w.prefill.how_ended(reading), Closing::broken);
+    fixture.wait_until("the server sees the close",
+                       [&] { return !fixture.prefill.is_open(prefill_connection); });
+    EXPECT_EQ(fixture.prefill.close_reason(prefill_connection), Closing::broken);
 }
 
-// ---- clients that leave
+// ---- clients that disconnect
 
-// The server's failure and the client's end come in the same turn: no further attempt for nobody.
-TEST(ClientHasGone, NoFurtherAttemptFollowsAFailureInTheSameMoment) {
+// The server's failure and the client's close arrive in the same loop iteration: no further attempt is made.
+TEST(ClientDisconnect, NoFurtherAttemptFollowsASimultaneousServerFailure) {
     for (const bool reset : {false, true}) {
-        ScriptedWorld w;
-        RawClient client(w.node->address());
-        client.say(w.call(w.fresh()));
-        const auto used = w.wait_for_post(w.prefill, 1);
+        ScriptedGatewayFixture fixture;
+        RawClient client(fixture.node->address());
+        client.say(fixture.request_text(fixture.new_request_id()));
+        const auto used = fixture.wait_for_post(fixture.prefill, 1);
         reset ? client.reset() : client.leave();
-        w.prefill.send(used, response_of(500, "", ""));
-        w.until("it is over", [&] { return w.node->desk().open_queries() == 0; });
-        w.pass(ms(100));
-        EXPECT_EQ(w.prefill.count("POST"), 1u);
-        EXPECT_EQ(w.decode.count("POST"), 0u);
+        fixture.prefill.send(used, response_of(500, "", ""));
+        fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+        fixture.run_for(ms(100));
+        EXPECT_EQ(fixture.prefill.count("POST"), 1u);
+        EXPECT_EQ(fixture.decode.count("POST"), 0u);
     }
 }
 
-// ---- an attempt that the gateway itself closes
-
-// Its close has to reach its server before the next attempt is written: two of them out at once would be a
-// second copy.
-TEST(ClosedAttempt, IsOverBeforeTheNextOneIsWritten) {
-    ScriptedWorld w;
-    auto client = w.client();
-    const auto spoilt = w.up_to_decode(*client);
-    // The server sees the close only when its loop comes to it, which the next attempt must not overtake.
-    w.decode.send(spoilt, "\x01 what is this\r\n\r\n");
-    std::size_t reads_at_close = 0;
-    w.until("the close", [&] {
-        reads_at_close = w.prefill.count("POST");
-        return !w.decode.is_open(spoilt);
+// ---- attempts that the gateway closes
+
+// The close has to reach the server before the next attempt is written: otherwise two attempts would be in
+// flight at once, which would amount to a hedge.
+TEST(ClosedAttempt, HasEndedBeforeTheNextOneIsSent) {
+    ScriptedGatewayFixture fixture;
+    auto client = fixture.client();
+    const auto decode_connection = fixture.advance_to_decode(*client);
+    // The server sees the close only in a later loop iteration, which the next attempt must not overtake.
+    fixture.decode.send(decode_connection, "\x01 what is this\r\n\r\n");
+    std::size_t prefills_at_close = 0;
+    fixture.wait_until("the close", [&] {
+        prefills_at_close = fixture.prefill.count("POST");
+        return !fixture.decode.is_open(decode_connection);
     });
-    EXPECT_EQ(reads_at_close, 1u);
-    w.wait_for_post(w.prefill, 2);
+    EXPECT_EQ(prefills_at_close, 1u);
+    fixture.wait_for_post(fixture.prefill, 2);
 }
 
 }  // namespace
--- a/tests/node/scripted_server.h
+++ b/tests/node/scripted_server.h
@@ -1,5 +1,5 @@
-// A server that answers only on command, byte by byte if a test wants it. It stands in for a model server or
-// for discovery where a test has to hold the server's side at a known point.
+// A fake server that answers only on command, byte by byte if a test needs it. It replaces a model server or
+// discovery where a test has to hold the server's side at a known point.
 #pragma once
 
 #include <unistd.h>
@@ -31,7 +31,7 @@
         : loop_(loop), listener_(loop, Address::parse("127.0.0.1:0"), [this](int fd) { accept(fd); }) {}
 
     std::string address() const { return listener_.address().text(); }
-    // Whole requests in the order in which their last bytes came.
+    // Complete requests in the order in which their last bytes arrived.
     const std::vector<Request>& requests() const { return requests_; }
     std::size_t count(const std::string& method) const {
         std::size_t n = 0;
@@ -42,16 +42,16 @@
     }
     std::size_t accepted() const { return next_; }
     bool is_open(ConnectionId id) const { return connections_.count(id) > 0; }
-    // How the peer ended a connection that is no longer open.
-    Closing how_ended(ConnectionId id) const { return ended_.at(id); }
+    // Why a connection that is no longer open was closed.
+    Closing close_reason(ConnectionId id) const { return close_reasons_.at(id); }
 
     void send(ConnectionId id, const std::string& bytes) { connections_.at(id)->stream->send(bytes); }
-    // As one that holds all the connections it takes.
+    // Closes new connections right after accepting them, like a server at its connection limit.
     void close_new_connections(bool on) { closes_new_ = on; }
     void pause_reading(ConnectionId id, bool pause) { connections_.at(id)->stream->pause_reading(pause); }
-    // Ends the connection in good order, after what was sent.
-    void close(ConnectionId id) { Stream::hand_off(loop_, take(id), true); }
-    void reset(ConnectionId id) { Stream::reset(loop_, take(id)); }
+    // Closes the connection gracefully, after all sent bytes have been written.
+    void close(ConnectionId id) { Stream::hand_off(loop_, detach(id), true); }
+    void reset(ConnectionId id) { Stream::reset(loop_, detach(id)); }
 
   private:
     struct Connection : Stream::Owner {
@@ -78,8 +78,8 @@
             }
         }
         void stream_closed(Stream&, Closing why, const std::string&) override {
-            server->ended_[id] = why;
-            Stream::hand_off(server->loop_, server->take(id), false);
+            server->close_reasons_[id] = why;
+            Stream::hand_off(server->loop_, server->detach(id), false);
         }
     };
 
@@ -94,7 +94,7 @@
         connection->stream = Stream::accepted(loop_, fd, {0, 0}, *connection);
         connections_.emplace(connection->id, std::move(connection));
     }
-    std::unique_ptr<Stream> take(ConnectionId id) {
+    std::unique_ptr<Stream> detach(ConnectionId id) {
         const auto it = connections_.find(id);
         assert(it != connections_.end());
         std::unique_ptr<Stream> stream = std::move(it->second->stream);
@@ -108,11 +108,11 @@
     ConnectionId next_ = 0;
     bool closes_new_ = false;
     std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-    std::map<ConnectionId, Closing> ended_;
+    std::map<ConnectionId, Closing> close_reasons_;
     std::vector<Request> requests_;
 };
 
-// Answers of the platform's protocol.
+// Responses of the model servers' protocol.
 
 inline std::string response_of(int status, const std::string& fields, const std::string& body) {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + fields +
--- a/tests/node/settings_shapes_test.cpp
+++ b/tests/node/settings_shapes_test.cpp
@@ -1,15 +1,15 @@
-// Settings of other customers: other classes, effects, tenants, kinds, limits and windows, in the shapes of
-// the two sites under deploy/sites. Nothing in the program may be fitted to the names of one deployment.
+// Guards against code that depends on the names of one deployment: settings with other service classes,
+// effects, tenants, server kinds, limits and windows, modelled on the two sites under deploy/sites.
 #include <filesystem>
 #include <fstream>
 #include <sstream>
 
-#include "scripted_world.h"
+#include "scripted_gateway_fixture.h"
 
 namespace copperfront {
 namespace {
 
-// The largest class must never take effect twice.
+// The largest service class must never take effect twice.
 const char* const kMostlyOnce =
     R"("settings":{"azs":["north-quay","south-quay","islands"],"zone":"islands","balancers":6,
  "models":["loader","crane"],
@@ -25,7 +25,7 @@
  "realms":[{"name":"ferry-line","quota-per-s":9},{"name":"fish-hall","quota-per-s":6}],"quantum-ms":4,
  "safety":{"fall-ms":2000,"tip-multiple":3,"start-capacity":0.35,"warm-within-ms":11000}})";
 
-// Many tenants, short deadlines, and repeats that are known for less than one attempt takes.
+// Many tenants, short deadlines, and a repeat window that is shorter than one attempt.
 const char* const kManyTenants =
     R"("settings":{"azs":["west","east"],"zone":"west","balancers":30,"models":["ingest","tell"],
  "family-info":{"role-by-kind":["read","write"],"tokens-by-kind":[220000,150000],"release-ms":1300,
@@ -41,7 +41,7 @@
   {"name":"gorse","quota-per-s":3},{"name":"hazel","quota-per-s":2},{"name":"ivy","quota-per-s":2}],
  "quantum-ms":4,"safety":{"fall-ms":2500,"tip-multiple":2,"start-capacity":0.3,"warm-within-ms":14000}})";
 
-struct Shape {
+struct SettingsCase {
     const char* settings;
     std::vector<std::string> classes, tenants;
     const char* prefill_kind;
@@ -55,11 +55,12 @@
     return text;
 }
 
-class SettingsShape : public testing::TestWithParam<Shape> {};
+class SettingsShape : public testing::TestWithParam<SettingsCase> {};
 
-// A node on these settings serves each class of each tenant, from the list of its configuration.
+// A gateway with these settings serves each service class of each tenant, from the server list of its
+// configuration.
 TEST_P(SettingsShape, EachClassOfEachTenantIsServed) {
-    const Shape& shape = GetParam();
+    const SettingsCase& settings_case = GetParam();
     Loop loop;
     Log log{"error", "json", "", 1 << 20, 1};
     standin::Platform platform(loop, {});
@@ -68,12 +69,12 @@
     platform.discovery_is_silent(true);
     const std::string known =
         replaced(replaced(platform.list(), R"("type":"reader")",
-                          std::string(R"("type":")") + shape.prefill_kind + "\""),
-                 R"("type":"writer")", std::string(R"("type":")") + shape.decode_kind + "\"");
-    Node node(loop, terms_for(platform.discovery().text(), known, 256, shape.settings), log);
+                          std::string(R"("type":")") + settings_case.prefill_kind + "\""),
+                 R"("type":"writer")", std::string(R"("type":")") + settings_case.decode_kind + "\"");
+    Node node(loop, terms_for(platform.discovery().text(), known, 256, settings_case.settings), log);
     int n = 0;
-    for (const std::string& service_class : shape.classes) {
-        for (const std::string& tenant : shape.tenants) {
+    for (const std::string& service_class : settings_case.classes) {
+        for (const std::string& tenant : settings_case.tenants) {
             Client client(loop, node.address());
             const std::string body = R"({"messages":[{"role":"user","content":"hello there"}]})";
             client.say(
@@ -81,13 +82,13 @@
                 "\r\nX-Service-Class: " + service_class + "\r\nX-Account: " + tenant +
                 "\r\nX-Session-Key: s\r\nX-Time-Left-Ms: 2000\r\nX-Facts: prompt_len=9,max_out=50\r\n" +
                 "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-            Timer look(loop, [&] {
-                if (client.whole() || client.closed || client.status() > 200) return loop.stop();
-                look.set(ms(2));
+            Timer poll(loop, [&] {
+                if (client.is_complete() || client.closed || client.status() > 200) return loop.stop();
+                poll.set(ms(2));
             });
-            look.set(ms(2));
+            poll.set(ms(2));
             loop.run();
-            EXPECT_TRUE(client.whole()) << service_class << " of " << tenant << ": " << client.heard;
+            EXPECT_TRUE(client.is_complete()) << service_class << " of " << tenant << ": " << client.received;
         }
     }
     EXPECT_EQ(node.desk().tally().settled, static_cast<std::uint64_t>(n));
@@ -95,14 +96,15 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Each, SettingsShape,
-    testing::Values(Shape{kMostlyOnce,
-                          {"berth-commit", "tide-lookup", "manifest-note"},
-                          {"ferry-line", "fish-hall"},
-                          "loader",
-                          "crane"},
-                    Shape{kManyTenants, {"hint", "mark-draft"}, {"ash", "elder", "ivy"}, "ingest", "tell"}));
+    testing::Values(SettingsCase{kMostlyOnce,
+                                 {"berth-commit", "tide-lookup", "manifest-note"},
+                                 {"ferry-line", "fish-hall"},
+                                 "loader",
+                                 "crane"},
+                    SettingsCase{
+                        kManyTenants, {"hint", "mark-draft"}, {"ash", "elder", "ivy"}, "ingest", "tell"}));
 
-TEST(Settings, NoNameOfTheFirstDeploymentStandsInTheProgram) {
+TEST(Settings, SourcesContainNoNameOfTheFirstDeployment) {
     std::size_t files = 0;
     for (const auto& entry : std::filesystem::recursive_directory_iterator(COPPERFRONT_SOURCE_DIR "/src")) {
         if (!entry.is_regular_file()) continue;
--- a/tests/node/stalled_peers.h
+++ b/tests/node/stalled_peers.h
@@ -1,5 +1,5 @@
-// Peers on plain sockets that hold a connection at a point of its life: before it comes up, or with a part of
-// a message written.
+// Peers on plain sockets that hold a connection in one state: not yet established, or with a message partly
+// written.
 #pragma once
 
 #include <netinet/in.h>
@@ -26,9 +26,8 @@
     return "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
 }
 
-// A machine that is cut off: a connection to it does not come up, as its listener's queue is full and the
-// system drops what would open another one. Once it accepts, the system's next try comes up, within a second
-// or so.
+// An unreachable machine: connections to it are not established, as its accept queue is full and the kernel
+// drops further SYNs. Once it accepts, the kernel's next SYN retransmission succeeds, within about a second.
 class StalledListener {
   public:
     StalledListener() {
@@ -54,38 +53,38 @@
             accepted_.push_back(fd);
         }
     }
-    // All bytes that came on connections that have come up so far.
-    const std::string& heard() {
+    // All bytes received on the connections that are established so far.
+    const std::string& received() {
         accept_all();
         char bytes[4096];
         for (const int fd : accepted_) {
             for (ssize_t n; (n = read(fd, bytes, sizeof bytes)) > 0;) {
-                heard_.append(bytes, static_cast<std::size_t>(n));
+                received_.append(bytes, static_cast<std::size_t>(n));
             }
         }
-        return heard_;
+        return received_;
     }
 
   private:
     int listener_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     std::vector<int> fillers_, accepted_;
-    std::string address_, heard_;
+    std::string address_, received_;
 };
 
-// Takes connections and reads nothing. Its segments and its buffer are small, so that the writer's buffers
-// are as well and a large message stays half written.
-class StalledReader {
+// Accepts connections and reads nothing. Its segments and its buffer are small, so that the sender's buffers
+// are small as well and a large message stays partly written.
+class NonReadingServer {
   public:
-    StalledReader() {
+    NonReadingServer() {
         const int segment = 536, buffer = 2048;
         setsockopt(listener_, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
         setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
         sockaddr_in at{};
         address_ = listen_on_loopback(listener_, 16, at);
     }
-    StalledReader(const StalledReader&) = delete;
-    StalledReader& operator=(const StalledReader&) = delete;
-    ~StalledReader() {
+    NonReadingServer(const NonReadingServer&) = delete;
+    NonReadingServer& operator=(const NonReadingServer&) = delete;
+    ~NonReadingServer() {
         for (const int fd : accepted_) close(fd);
         close(listener_);
     }
