--- a/src/record/recorder.h
+++ b/src/record/recorder.h
@@ -1,6 +1,6 @@
-// What a peer saw on its own sockets, one JSON object a line, stamped with the machine's monotonic clock.
-// Each record is written through at once, so that a kill loses at most the one in hand; an end mark tells a
-// record that is whole from one that was torn.
+// Records what a peer saw on its own sockets, one JSON object per line, stamped with the machine's monotonic
+// clock. Each record is written at once, so that a kill loses at most the one being written; an end mark
+// distinguishes a complete file from a torn one.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,25 +12,25 @@
 
 class Recorder {
   public:
-    // An empty path: nothing is kept. Throws std::runtime_error where the file cannot be opened. Appends, so
-    // that a process that is started again goes on with the same file.
+    // An empty path disables recording. Throws std::runtime_error if the file cannot be opened. Appends, so
+    // that a restarted process continues the same file.
     explicit Recorder(const std::string& path);
     ~Recorder();
     Recorder(const Recorder&) = delete;
     Recorder& operator=(const Recorder&) = delete;
 
     bool on() const { return fd_ >= 0; }
-    // `event` goes in as "e", the present time as "t" in microseconds.
+    // Writes `event` as "e" and the present time in microseconds as "t".
     void note(std::string_view event, nlohmann::json fields = nlohmann::json::object());
-    // The end mark; nothing may be noted after it.
+    // Writes the end mark; nothing may be recorded after it.
     void end();
 
   private:
     int fd_ = -1;
-    bool broken_ = false;
+    bool write_failed_ = false;
 };
 
-// One record as read back.
+// One record as read from a file.
 struct Record {
     std::int64_t at = 0;  // microseconds
     std::string event;
@@ -39,13 +39,13 @@
 };
 
 struct RecordFile {
-    std::string name;  // of the file, without its folder and ending
+    std::string name;  // file name without folder and extension
     std::vector<Record> records;
     std::size_t torn = 0;  // lines that could not be read
     bool ended = false;    // the last run of the process wrote its end mark
 };
 
-// Throws std::runtime_error where a file cannot be opened.
+// Throws std::runtime_error if a file cannot be opened.
 RecordFile read_records(const std::string& path);
 
 }  // namespace copperfront
--- a/src/soak/cpu_share.cpp
+++ b/src/soak/cpu_share.cpp
@@ -7,22 +7,25 @@
 namespace copperfront::soak {
 namespace {
 
-constexpr Span kPeriod{20000};  // of one stop and one continuation
+constexpr Span kPeriod{20000};  // one stop and one continuation
 
 }  // namespace
 
 CpuShare::CpuShare(Loop& loop, day::Processes& processes, std::string process, double share)
-    : processes_(processes), process_(std::move(process)), share_(share), next_(loop, [this] { turn(); }) {
-    turn();
+    : processes_(processes),
+      process_(std::move(process)),
+      share_(share),
+      toggle_timer_(loop, [this] { toggle(); }) {
+    toggle();
 }
 
 CpuShare::~CpuShare() { processes_.signal(process_, SIGCONT); }
 
-void CpuShare::turn() {
+void CpuShare::toggle() {
     if (share_ >= 1) return;
     running_ = !running_;
     processes_.signal(process_, running_ ? SIGCONT : SIGSTOP);
-    next_.set(kPeriod * (running_ ? share_ : 1 - share_));
+    toggle_timer_.set(kPeriod * (running_ ? share_ : 1 - share_));
 }
 
 }  // namespace copperfront::soak
--- a/src/soak/cpu_share.h
+++ b/src/soak/cpu_share.h
@@ -1,5 +1,5 @@
-// Gives a process a part of a core by stopping and continuing it in turn, as a machine that many processes
-// share does. The caller ends it before the process is signalled otherwise.
+// Limits a process to a share of one core by stopping and continuing it in turn, as on a machine that many
+// processes share. Its owner destroys it before the process gets any other signal.
 #pragma once
 
 #include <string>
@@ -13,19 +13,19 @@
   public:
     // `share`: of one core, more than 0 and at most 1.
     CpuShare(Loop& loop, day::Processes& processes, std::string process, double share);
-    // The process runs on.
+    // Continues the process.
     ~CpuShare();
     CpuShare(const CpuShare&) = delete;
     CpuShare& operator=(const CpuShare&) = delete;
 
   private:
-    void turn();
+    void toggle();
 
     day::Processes& processes_;
     const std::string process_;
     const double share_;
     bool running_ = true;
-    Timer next_;
+    Timer toggle_timer_;
 };
 
 }  // namespace copperfront::soak
--- a/src/soak/fault_proxy.cpp
+++ b/src/soak/fault_proxy.cpp
@@ -11,19 +11,22 @@
 
 }  // namespace
 
-class FaultProxy::Pair {
+class FaultProxy::Relay {
   public:
-    Pair(FaultProxy& proxy, int fd)
-        : proxy_(proxy), gateway_(*this), server_(*this), later_(proxy.loop_, [this] { open(); }) {
+    Relay(FaultProxy& proxy, int fd)
+        : proxy_(proxy),
+          gateway_(*this),
+          server_(*this),
+          connect_timer_(proxy.loop_, [this] { connect_to_server(); }) {
         gateway_.stream = Stream::accepted(proxy.loop_, fd, kUnbounded, gateway_);
-        if (proxy.is_cut_ || !proxy.has_server_) {
+        if (proxy.is_cut_off_ || !proxy.has_server_) {
             fall_silent();
             return;
         }
-        if (proxy.delay_.us > 0) {
-            later_.set(proxy.delay_);
+        if (proxy.connect_delay_.us > 0) {
+            connect_timer_.set(proxy.connect_delay_);
         } else {
-            open();
+            connect_to_server();
         }
     }
     void fall_silent() {
@@ -31,8 +34,8 @@
         silent_ = true;
     }
     void end(bool reset) {
-        later_.off();
-        if (silent_ && proxy_.on_silence_over) proxy_.on_silence_over(silent_since_, machine_clock_us());
+        connect_timer_.off();
+        if (silent_ && proxy_.on_silence_ended) proxy_.on_silence_ended(silent_since_, machine_clock_us());
         for (End* const end : {&gateway_, &server_}) {
             if (reset) {
                 Stream::reset(proxy_.loop_, std::move(end->stream));
@@ -44,21 +47,23 @@
 
   private:
     struct End : Stream::Owner {
-        explicit End(Pair& the_pair) : pair(the_pair) {}
-        void stream_made(Stream&) override { pair.pass(pair.gateway_, pair.server_); }
+        explicit End(Relay& the_relay) : relay(the_relay) {}
+        void stream_made(Stream&) override { relay.forward(relay.gateway_, relay.server_); }
         void bytes_came(Stream&) override {
-            pair.pass(*this, this == &pair.gateway_ ? pair.server_ : pair.gateway_);
+            relay.forward(*this, this == &relay.gateway_ ? relay.server_ : relay.gateway_);
         }
-        void stream_closed(Stream&, Closing why, const std::string&) override { pair.closed(*this, why); }
-        Pair& pair;
+        void stream_closed(Stream&, Closing why, const std::string&) override { relay.closed(*this, why); }
+        Relay& relay;
         std::unique_ptr<Stream> stream;
     };
 
-    void open() { server_.stream = Stream::dial(proxy_.loop_, proxy_.server_, kUnbounded, server_); }
-    void pass(End& from, End& to) {
+    void connect_to_server() {
+        server_.stream = Stream::dial(proxy_.loop_, proxy_.server_, kUnbounded, server_);
+    }
+    void forward(End& from, End& to) {
         if (!from.stream) return;
         while (from.stream->held() > 0) {
-            // What comes on a silent connection is accepted by the system and lost.
+            // Bytes that arrive on a silent connection are accepted by the system and lost.
             if (!silent_) {
                 if (!to.stream || !to.stream->made()) return;
                 to.stream->send(from.stream->front());
@@ -67,7 +72,7 @@
         }
     }
     void closed(End& end, Closing why) {
-        // On a silent connection the other side learns nothing.
+        // On a silent connection the gateway does not learn that the server has closed.
         if (silent_ && &end == &server_) {
             Stream::hand_off(proxy_.loop_, std::move(server_.stream), false);
             return;
@@ -79,19 +84,19 @@
     End gateway_, server_;
     bool silent_ = false;
     std::int64_t silent_since_ = 0;
-    Timer later_;
+    Timer connect_timer_;
 };
 
 FaultProxy::FaultProxy(Loop& loop, std::uint32_t seed)
-    : loop_(loop), random_(seed), listener_(loop, Address::parse("127.0.0.1:0"), [this](int fd) {
-          auto pair = std::make_unique<Pair>(*this, fd);
-          Pair* const raw = pair.get();
-          pairs_.emplace(raw, std::move(pair));
+    : loop_(loop), random_state_(seed), listener_(loop, Address::parse("127.0.0.1:0"), [this](int fd) {
+          auto relay = std::make_unique<Relay>(*this, fd);
+          Relay* const raw = relay.get();
+          relays_.emplace(raw, std::move(relay));
       }) {}
 
 FaultProxy::~FaultProxy() = default;
 
-double FaultProxy::chance() { return unit(random_ = mixed(random_ + 1)); }
+double FaultProxy::draw() { return unit(random_state_ = mixed(random_state_ + 1)); }
 
 void FaultProxy::forward_to(const Address& server) {
     reset(1.0);
@@ -100,32 +105,32 @@
 }
 
 void FaultProxy::cut_off(bool on) {
-    if (is_cut_ == on) return;
-    is_cut_ = on;
+    if (is_cut_off_ == on) return;
+    is_cut_off_ = on;
     if (!on) return reset(1.0);
     silence(1.0);
 }
 
 void FaultProxy::silence(double share) {
-    for (const auto& [pair, owned] : pairs_) {
-        if (chance() < share) pair->fall_silent();
+    for (const auto& [relay, owned] : relays_) {
+        if (draw() < share) relay->fall_silent();
     }
 }
 
 void FaultProxy::reset(double share) {
-    std::vector<Pair*> chosen;
-    for (const auto& [pair, owned] : pairs_) {
-        if (chance() < share) chosen.push_back(pair);
+    std::vector<Relay*> chosen;
+    for (const auto& [relay, owned] : relays_) {
+        if (draw() < share) chosen.push_back(relay);
     }
-    for (Pair* const pair : chosen) drop(*pair, true);
+    for (Relay* const relay : chosen) drop(*relay, true);
 }
 
-void FaultProxy::drop(Pair& pair, bool reset) {
-    const auto held = pairs_.find(&pair);
-    if (held == pairs_.end()) return;
-    pair.end(reset);
-    loop_.bury(std::move(held->second));
-    pairs_.erase(held);
+void FaultProxy::drop(Relay& relay, bool reset) {
+    const auto it = relays_.find(&relay);
+    if (it == relays_.end()) return;
+    relay.end(reset);
+    loop_.bury(std::move(it->second));
+    relays_.erase(it);
 }
 
 }  // namespace copperfront::soak
--- a/src/soak/fault_proxy.h
+++ b/src/soak/fault_proxy.h
@@ -1,5 +1,5 @@
-// A relay of bytes in front of one model server, which can fail as networks do: connections fall silent
-// without an error, are cut off, come up slow, or are reset. Its address is the one that discovery tells.
+// A byte relay in front of one model server that fails as networks do: connections fall silent without an
+// error, are cut off, are slow to open, or are reset. Discovery reports its address as that of the server.
 #pragma once
 
 #include <cstdint>
@@ -22,30 +22,32 @@
     FaultProxy& operator=(const FaultProxy&) = delete;
 
     Address address() const { return listener_.address(); }
-    // Where bytes go from now on; connections to an earlier address are reset.
+    // The address that bytes go to from now on; connections to an earlier address are reset.
     void forward_to(const Address& server);
-    // Cut off: nothing passes on any connection, old or new. At its end all of them are reset.
+    // While the server is cut off, no bytes pass on any connection, old or new. When this ends, all
+    // connections are reset.
     void cut_off(bool on);
-    // Of the connections open now: this share falls silent for good.
+    // This share of the connections that are open now falls silent for good.
     void silence(double share);
     void reset(double share);
-    // New connections pass their first bytes on only after this time.
-    void delay_new(Span delay) { delay_ = delay; }
-    // Told, on the machine's monotonic clock, of each connection that was silent for a while when it ends.
-    std::function<void(std::int64_t from_us, std::int64_t until_us)> on_silence_over;
-    std::size_t connections() const { return pairs_.size(); }
+    // New connections forward their first bytes only after this time.
+    void delay_new(Span delay) { connect_delay_ = delay; }
+    // Called when a connection that was silent for a while ends, with the times on the machine's monotonic
+    // clock.
+    std::function<void(std::int64_t from_us, std::int64_t until_us)> on_silence_ended;
+    std::size_t connections() const { return relays_.size(); }
 
   private:
-    class Pair;
-    void drop(Pair& pair, bool reset);
-    double chance();
+    class Relay;
+    void drop(Relay& relay, bool reset);
+    double draw();
 
     Loop& loop_;
-    std::uint64_t random_;
+    std::uint64_t random_state_;
     Address server_;
-    bool has_server_ = false, is_cut_ = false;
-    Span delay_;
-    std::map<Pair*, std::unique_ptr<Pair>> pairs_;
+    bool has_server_ = false, is_cut_off_ = false;
+    Span connect_delay_;
+    std::map<Relay*, std::unique_ptr<Relay>> relays_;
     Listener listener_;
 };
 
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -13,15 +13,15 @@
 namespace copperfront::soak {
 namespace {
 
-// The longest deadline that clients of a run have, and what the protocol adds before SIGKILL.
-constexpr Span kKillAfter{3700000};
-constexpr Span kStillAccepting{300000};  // new connections after SIGTERM
-constexpr Span kRestartAfter{100000};
-constexpr Span kServerGoneNotice{400000};  // until discovery tells that a server has crashed
-constexpr Span kPollReady{50000};
+// The longest deadline of the clients of a run plus the time that the protocol adds before SIGKILL.
+constexpr Span kKillDelay{3700000};
+constexpr Span kAcceptsAfterSigterm{300000};  // new connections after SIGTERM
+constexpr Span kRestartDelay{100000};
+constexpr Span kCrashNoticeDelay{400000};  // until discovery reports that a server has crashed
+constexpr Span kReadyPollInterval{50000};
 constexpr int kGatewayPort = 18080;
 constexpr int kHosts = 250;
-constexpr std::size_t kGroups = 4;
+constexpr std::size_t kServerGroups = 4;
 constexpr std::int64_t kLongDrain = 3600000000;
 
 constexpr const char* kSettings = R"("settings":{"azs":["a","b"],"zone":"a","balancers":5,
@@ -37,23 +37,22 @@
  "realms":[{"name":"acme","quota-per-s":100000}],
  "safety":{"fall-ms":3000,"tip-multiple":2.5,"start-capacity":0.3,"warm-within-ms":3000}})";
 
-// Of its own for each run on this machine.
+// A loopback address that differs between the runs on this machine.
 std::string gateway_host(std::size_t gateway) {
-    const int own = static_cast<int>(getpid());
-    return "127." + std::to_string(1 + own / kHosts % kHosts) + "." + std::to_string(1 + own % kHosts) + "." +
-           std::to_string(1 + gateway);
+    const int process_id = static_cast<int>(getpid());
+    return "127." + std::to_string(1 + process_id / kHosts % kHosts) + "." +
+           std::to_string(1 + process_id % kHosts) + "." + std::to_string(1 + gateway);
 }
 
-// By how many microseconds the wall clock of a gateway's process is wrong: not at all, by seconds, or by an
-// hour.
-constexpr std::int64_t kSecond = 1000000, kHour = 3600 * kSecond;
-constexpr std::int64_t kWallClockErrors[] = {0, 5 * kSecond, -5 * kSecond, kHour, -kHour};
+// Errors of the wall clock of a gateway's process: none, some seconds, or an hour.
+constexpr std::int64_t kSecondUs = 1000000, kHourUs = 3600 * kSecondUs;
+constexpr std::int64_t kWallClockErrors[] = {0, 5 * kSecondUs, -5 * kSecondUs, kHourUs, -kHourUs};
 
 std::int64_t wall_clock_error(std::size_t draw) {
     return kWallClockErrors[draw % std::size(kWallClockErrors)];
 }
 
-// The count that a gateway writes when it stops; -1: it has not.
+// The count of violations that a gateway logs when it stops; -1: it has not logged one.
 std::int64_t violations_in(const std::string& log_file) {
     std::ifstream file(log_file);
     std::string line;
@@ -68,29 +67,29 @@
 
 }  // namespace
 
-// Asks for readiness once and tells.
+// Requests the readiness of a gateway once and reports the result.
 class ReadyProbe : public Stream::Owner {
   public:
-    ReadyProbe(Loop& loop, const Address& to, std::function<void(bool)> told)
-        : loop_(loop), told_(std::move(told)) {
+    ReadyProbe(Loop& loop, const Address& to, std::function<void(bool)> callback)
+        : loop_(loop), callback_(std::move(callback)) {
         stream_ = Stream::dial(loop, to, {0, 0}, *this);
     }
     ~ReadyProbe() override { Stream::hand_off(loop_, std::move(stream_), false); }
     void stream_made(Stream& s) override { s.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
     void bytes_came(Stream& s) override {
         const bool ready = s.front().substr(0, 12) == "HTTP/1.1 200";
-        tell(ready);
+        report(ready);
     }
-    void stream_closed(Stream&, Closing, const std::string&) override { tell(false); }
+    void stream_closed(Stream&, Closing, const std::string&) override { report(false); }
 
   private:
-    void tell(bool ready) {
-        loop_.post([told = std::exchange(told_, {}), ready] {
-            if (told) told(ready);
+    void report(bool ready) {
+        loop_.post([callback = std::exchange(callback_, {}), ready] {
+            if (callback) callback(ready);
         });
     }
     Loop& loop_;
-    std::function<void(bool)> told_;
+    std::function<void(bool)> callback_;
     std::unique_ptr<Stream> stream_;
 };
 
@@ -98,7 +97,7 @@
     std::string name, host, configuration;
     std::uint32_t life = 0;
     bool running = false, ready = false, terminated = false;
-    std::size_t record = 0;  // of its present life
+    std::size_t record = 0;  // index of the record of its present life
     std::unique_ptr<ReadyProbe> probe;
     std::unique_ptr<Timer> kill_later;
     std::unique_ptr<CpuShare> cpu_share;
@@ -109,7 +108,7 @@
     Role role = Role::reader;
     bool running = false, ready = false, draining = false;
     std::uint32_t life = 0;
-    std::uint32_t renamed = 0;  // times
+    std::uint32_t renamed = 0;  // how often
     std::unique_ptr<FaultProxy> proxy;
 };
 
@@ -121,9 +120,9 @@
 
 Fleet::~Fleet() = default;
 
-void Fleet::after(Span span, std::function<void()> what) {
-    timers_.push_back(std::make_unique<Timer>(loop_, std::move(what)));
-    timers_.back()->set(span);
+void Fleet::after(Span duration, std::function<void()> action) {
+    timers_.push_back(std::make_unique<Timer>(loop_, std::move(action)));
+    timers_.back()->set(duration);
 }
 
 void Fleet::start() {
@@ -136,7 +135,7 @@
         server->zone = n % 2 == 0 ? "a" : "b";
         server->proxy =
             std::make_unique<FaultProxy>(loop_, options_.seed * 1000U + static_cast<std::uint32_t>(n));
-        server->proxy->on_silence_over = [this, name = server->name](std::int64_t from, std::int64_t until) {
+        server->proxy->on_silence_ended = [this, name = server->name](std::int64_t from, std::int64_t until) {
             records_.server_faults[name].push_back({from, until});
         };
         servers_.push_back(std::move(server));
@@ -164,42 +163,42 @@
 // ---- gateways
 
 void Fleet::write_configuration(std::size_t gateway) {
-    const Gateway& mine = *gateways_[gateway];
-    // As a whole or not at all.
-    const std::string fresh = mine.configuration + ".new";
-    std::ofstream file(fresh);
-    file << R"({"name":")" << mine.name << R"(","listen":")" << gateway_address(gateway).text()
-         << R"(","discovery":")" << platform_->discovery_of(mine.name).text() << R"(","seed":")"
-         << options_.seed * 100 + mine.life << R"(","limits":{"memory_mb":192,"sockets":512},"known":)"
+    const Gateway& process = *gateways_[gateway];
+    // The file is replaced atomically.
+    const std::string temporary_file = process.configuration + ".new";
+    std::ofstream file(temporary_file);
+    file << R"({"name":")" << process.name << R"(","listen":")" << gateway_address(gateway).text()
+         << R"(","discovery":")" << platform_->discovery_for(process.name).text() << R"(","seed":")"
+         << options_.seed * 100 + process.life << R"(","limits":{"memory_mb":192,"sockets":512},"known":)"
          << platform_->list() << ",\n " << kSettings << "}\n";
     file.close();
-    std::filesystem::rename(fresh, mine.configuration);
+    std::filesystem::rename(temporary_file, process.configuration);
 }
 
 void Fleet::start_gateway(std::size_t gateway) {
     if (stopping_) return;
-    Gateway& mine = *gateways_[gateway];
-    ++mine.life;
-    mine.running = true;
-    mine.ready = mine.terminated = false;
+    Gateway& process = *gateways_[gateway];
+    ++process.life;
+    process.running = true;
+    process.ready = process.terminated = false;
     write_configuration(gateway);
-    mine.record = records_.gateways.size();
+    process.record = records_.gateways.size();
     GatewayLife life;
     life.gateway = gateway;
-    life.life = mine.life;
+    life.life = process.life;
     life.started = machine_clock_us();
     records_.gateways.push_back(life);
-    const std::string run = options_.folder + "/" + mine.name + "." + std::to_string(mine.life);
+    const std::string run = options_.folder + "/" + process.name + "." + std::to_string(process.life);
     day::Processes::Start start;
-    start.name = mine.name;
+    start.name = process.name;
     start.program = options_.gateway_program;
-    start.args = {"node", mine.configuration, "--log-level", options_.log_level};
+    start.args = {"node", process.configuration, "--log-level", options_.log_level};
     start.errors = run + ".log";
     if (!options_.shim.empty()) {
         start.environment = {"LD_PRELOAD=" + options_.shim,
-                             "FAULT_SHIM_SEED=" + std::to_string(options_.seed * 100 + mine.life),
+                             "FAULT_SHIM_SEED=" + std::to_string(options_.seed * 100 + process.life),
                              "FAULT_SHIM_LOG=" + run + ".shim",
-                             "FAULT_SHIM_CLOCK=" + std::to_string(wall_clock_error(gateway + mine.life)),
+                             "FAULT_SHIM_CLOCK=" + std::to_string(wall_clock_error(gateway + process.life)),
                              "FAULT_SHIM_CLOCK_STEP=" + std::to_string(wall_clock_error(gateway))};
     }
     start.ended = [this, gateway](int status) { gateway_ended(gateway, status); };
@@ -208,49 +207,49 @@
 }
 
 void Fleet::poll_ready(std::size_t gateway) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.running) return;
-    mine.probe = std::make_unique<ReadyProbe>(
-        loop_, gateway_address(gateway), [this, gateway, life = mine.life](bool ready) {
+    Gateway& process = *gateways_[gateway];
+    if (!process.running) return;
+    process.probe = std::make_unique<ReadyProbe>(
+        loop_, gateway_address(gateway), [this, gateway, life = process.life](bool ready) {
             Gateway& asked = *gateways_[gateway];
             asked.probe.reset();
             if (asked.life != life || !asked.running) return;
             asked.ready = ready;
-            if (ready) share_cpu(gateway);
-            if (!ready) after(kPollReady, [this, gateway] { poll_ready(gateway); });
+            if (ready) limit_cpu(gateway);
+            if (!ready) after(kReadyPollInterval, [this, gateway] { poll_ready(gateway); });
         });
 }
 
-// On a machine that others use as well.
-void Fleet::share_cpu(std::size_t gateway) {
+// Simulates a machine that others use as well.
+void Fleet::limit_cpu(std::size_t gateway) {
     if (options_.least_cpu_share >= 1) return;
-    Gateway& mine = *gateways_[gateway];
+    Gateway& process = *gateways_[gateway];
     std::minstd_rand chance(
-        static_cast<std::uint32_t>(std::size_t{options_.seed} * 977 + gateway * 31 + mine.life));
+        static_cast<std::uint32_t>(std::size_t{options_.seed} * 977 + gateway * 31 + process.life));
     const double share = std::uniform_real_distribution<double>(options_.least_cpu_share, 1)(chance);
-    mine.cpu_share = std::make_unique<CpuShare>(loop_, processes_, mine.name, share);
+    process.cpu_share = std::make_unique<CpuShare>(loop_, processes_, process.name, share);
 }
 
 void Fleet::gateway_ended(std::size_t gateway, int status) {
-    Gateway& mine = *gateways_[gateway];
-    GatewayLife& life = records_.gateways[mine.record];
+    Gateway& process = *gateways_[gateway];
+    GatewayLife& life = records_.gateways[process.record];
     life.exited = machine_clock_us();
     life.status = status;
     life.violations =
-        violations_in(options_.folder + "/" + mine.name + "." + std::to_string(mine.life) + ".log");
-    mine.running = mine.ready = false;
-    mine.kill_later.reset();
-    mine.cpu_share.reset();
-    after(kRestartAfter, [this, gateway] {
+        violations_in(options_.folder + "/" + process.name + "." + std::to_string(process.life) + ".log");
+    process.running = process.ready = false;
+    process.kill_later.reset();
+    process.cpu_share.reset();
+    after(kRestartDelay, [this, gateway] {
         if (!gateways_[gateway]->running) start_gateway(gateway);
     });
 }
 
-bool Fleet::takes_connections(std::size_t gateway) const {
-    const Gateway& mine = *gateways_[gateway];
-    if (!mine.running || !mine.ready) return false;
-    const Microseconds terminated = records_.gateways[mine.record].terminated;
-    return terminated == 0 || machine_clock_us() - terminated < kStillAccepting.us;
+bool Fleet::accepts_connections(std::size_t gateway) const {
+    const Gateway& process = *gateways_[gateway];
+    if (!process.running || !process.ready) return false;
+    const Microseconds terminated = records_.gateways[process.record].terminated;
+    return terminated == 0 || machine_clock_us() - terminated < kAcceptsAfterSigterm.us;
 }
 
 Address Fleet::gateway_address(std::size_t gateway) const {
@@ -260,48 +259,48 @@
 std::uint32_t Fleet::gateway_life(std::size_t gateway) const { return gateways_[gateway]->life; }
 
 void Fleet::restart_gateway(std::size_t gateway) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.ready || mine.terminated) return;
-    mine.terminated = true;
-    records_.gateways[mine.record].terminated = machine_clock_us();
-    signal(mine.name, SIGTERM);
-    mine.kill_later = std::make_unique<Timer>(loop_, [this, gateway] {
+    Gateway& process = *gateways_[gateway];
+    if (!process.ready || process.terminated) return;
+    process.terminated = true;
+    records_.gateways[process.record].terminated = machine_clock_us();
+    signal(process.name, SIGTERM);
+    process.kill_later = std::make_unique<Timer>(loop_, [this, gateway] {
         Gateway& late = *gateways_[gateway];
         if (!late.running) return;
         records_.gateways[late.record].killed = machine_clock_us();
         signal(late.name, SIGKILL);
     });
-    mine.kill_later->set(kKillAfter);
+    process.kill_later->set(kKillDelay);
 }
 
 void Fleet::signal_series(std::size_t gateway) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.ready || mine.terminated) return;
+    Gateway& process = *gateways_[gateway];
+    if (!process.ready || process.terminated) return;
     reload_gateway(gateway);
     restart_gateway(gateway);
-    signal(mine.name, SIGTERM);
+    signal(process.name, SIGTERM);
     reload_gateway(gateway);
 }
 
 void Fleet::crash_gateway(std::size_t gateway) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.ready || mine.terminated) return;
-    records_.gateways[mine.record].killed = machine_clock_us();
-    signal(mine.name, SIGKILL);
+    Gateway& process = *gateways_[gateway];
+    if (!process.ready || process.terminated) return;
+    records_.gateways[process.record].killed = machine_clock_us();
+    signal(process.name, SIGKILL);
 }
 
 void Fleet::reload_gateway(std::size_t gateway) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.ready) return;
+    Gateway& process = *gateways_[gateway];
+    if (!process.ready) return;
     write_configuration(gateway);
-    signal(mine.name, SIGHUP);
+    signal(process.name, SIGHUP);
 }
 
-void Fleet::pause_gateway(std::size_t gateway, Span span) {
-    Gateway& mine = *gateways_[gateway];
-    if (!mine.ready) return;
-    signal(mine.name, SIGSTOP);
-    after(span, [this, gateway] { signal(gateways_[gateway]->name, SIGCONT); });
+void Fleet::pause_gateway(std::size_t gateway, Span duration) {
+    Gateway& process = *gateways_[gateway];
+    if (!process.ready) return;
+    signal(process.name, SIGSTOP);
+    after(duration, [this, gateway] { signal(gateways_[gateway]->name, SIGCONT); });
 }
 
 void Fleet::stop_all_gateways() {
@@ -326,22 +325,22 @@
 // ---- model servers
 
 void Fleet::start_server(std::size_t server) {
-    Server& mine = *servers_[server];
-    mine.running = true;
-    mine.ready = false;
-    ++mine.life;
+    Server& process = *servers_[server];
+    process.running = true;
+    process.ready = false;
+    ++process.life;
     day::Processes::Start start;
-    start.name = mine.name;
+    start.name = process.name;
     start.program = options_.program;
     start.args = {
         "standin",   "model-server",
-        "--name",    mine.name,
-        "--role",    mine.role == Role::reader ? "prefill" : "decode",
+        "--name",    process.name,
+        "--role",    process.role == Role::reader ? "prefill" : "decode",
         "--states",  options_.folder + "/states",
-        "--records", options_.folder + "/" + mine.name + "." + std::to_string(mine.life) + ".records",
-        "--seed",    std::to_string(std::size_t{options_.seed} * 7919 + server * 31 + mine.life),
+        "--records", options_.folder + "/" + process.name + "." + std::to_string(process.life) + ".records",
+        "--seed",    std::to_string(std::size_t{options_.seed} * 7919 + server * 31 + process.life),
         "--faults",  std::to_string(options_.server_fault_share)};
-    start.errors = options_.folder + "/" + mine.name + ".log";
+    start.errors = options_.folder + "/" + process.name + ".log";
     start.said = [this, server](const std::string& line) {
         const std::string ready = "ready ";
         if (line.rfind(ready, 0) != 0) return;
@@ -354,99 +353,100 @@
     processes_.start(std::move(start));
 }
 
-std::vector<std::string> Fleet::names_of(std::size_t server) const {
+std::vector<std::string> Fleet::listed_names(std::size_t server) const {
     const std::size_t names = std::max<std::size_t>(1, options_.listed_servers / servers_.size());
-    const Server& mine = *servers_[server];
-    const std::string name = mine.renamed == 0 ? mine.name : mine.name + "." + std::to_string(mine.renamed);
+    const Server& process = *servers_[server];
+    const std::string name =
+        process.renamed == 0 ? process.name : process.name + "." + std::to_string(process.renamed);
     std::vector<std::string> all{name};
     for (std::size_t n = 1; n < names; ++n) all.push_back(name + "-" + std::to_string(n));
     return all;
 }
 
 void Fleet::list_server(std::size_t server) {
-    const Server& mine = *servers_[server];
-    const bool again = mine.life > 1 || mine.renamed > 0;
-    // It is no longer withdrawn.
-    if (auto& spans = records_.withdrawn[mine.name]; !spans.empty()) {
+    const Server& process = *servers_[server];
+    const bool is_restart = process.life > 1 || process.renamed > 0;
+    // The server is no longer withdrawn.
+    if (auto& spans = records_.withdrawn[process.name]; !spans.empty()) {
         spans.back().until = std::min(spans.back().until, machine_clock_us());
     }
-    std::vector<standin::Platform::Listed> entries;
-    for (const std::string& name : names_of(server)) {
-        standin::Platform::Listed entry;
+    std::vector<standin::Platform::ListEntry> entries;
+    for (const std::string& name : listed_names(server)) {
+        standin::Platform::ListEntry entry;
         entry.name = name;
-        entry.zone = mine.zone;
-        entry.address = mine.proxy->address().text();
-        entry.role = mine.role;
-        entry.group = 1 + static_cast<int>((server + entries.size()) % kGroups);
-        entry.since_ms = again || cold_start_ ? loop_.now().us / 1000 : 0;
+        entry.zone = process.zone;
+        entry.address = process.proxy->address().text();
+        entry.role = process.role;
+        entry.group = 1 + static_cast<int>((server + entries.size()) % kServerGroups);
+        entry.since_ms = is_restart || cold_start_ ? loop_.now().us / 1000 : 0;
         entries.push_back(entry);
     }
     platform_->list(entries);
 }
 
 void Fleet::server_ended(std::size_t server) {
-    Server& mine = *servers_[server];
-    mine.running = mine.ready = false;
+    Server& process = *servers_[server];
+    process.running = process.ready = false;
     if (stopping_) return;
-    after(kServerGoneNotice, [this, server] {
+    after(kCrashNoticeDelay, [this, server] {
         if (stopping_ || servers_[server]->running) return;
-        platform_->set_all(names_of(server), "removed");
+        platform_->set_all(listed_names(server), "removed");
         start_server(server);
     });
 }
 
 bool Fleet::is_prefill(std::size_t server) const { return servers_[server]->role == Role::reader; }
 
-void Fleet::note_fault(std::size_t server, Span span) {
+void Fleet::record_fault(std::size_t server, Span duration) {
     const Microseconds now = machine_clock_us();
-    records_.server_faults[servers_[server]->name].push_back({now, now + span.us});
+    records_.server_faults[servers_[server]->name].push_back({now, now + duration.us});
 }
 
-void Fleet::pause_server(std::size_t server, Span span) {
+void Fleet::pause_server(std::size_t server, Span duration) {
     if (!servers_[server]->running) return;
-    note_fault(server, span + Span{50000});
+    record_fault(server, duration + Span{50000});
     signal(servers_[server]->name, SIGSTOP);
-    after(span, [this, server] { signal(servers_[server]->name, SIGCONT); });
+    after(duration, [this, server] { signal(servers_[server]->name, SIGCONT); });
 }
 
 void Fleet::crash_server(std::size_t server) {
-    Server& mine = *servers_[server];
-    if (!mine.ready) return;
+    Server& process = *servers_[server];
+    if (!process.ready) return;
     const Microseconds now = machine_clock_us();
-    records_.server_deaths[mine.name].push_back(now);
-    note_fault(server, kServerGoneNotice);
-    signal(mine.name, SIGKILL);
-    mine.proxy->reset(1.0);
+    records_.server_deaths[process.name].push_back(now);
+    record_fault(server, kCrashNoticeDelay);
+    signal(process.name, SIGKILL);
+    process.proxy->reset(1.0);
 }
 
-void Fleet::drain_server(std::size_t server, Span span) { withdraw(server, "draining", span); }
+void Fleet::drain_server(std::size_t server, Span duration) { withdraw(server, "draining", duration); }
 
-void Fleet::withdraw(std::size_t server, const std::string& status, Span span) {
-    Server& mine = *servers_[server];
-    if (!mine.ready || mine.draining) return;
-    mine.draining = true;
+void Fleet::withdraw(std::size_t server, const std::string& status, Span duration) {
+    Server& process = *servers_[server];
+    if (!process.ready || process.draining) return;
+    process.draining = true;
     const Microseconds now = machine_clock_us();
-    platform_->set_all(names_of(server), status);
-    records_.withdrawn[mine.name].push_back({now, now + span.us, platform_->list_index()});
-    after(span, [this, server] {
+    platform_->set_all(listed_names(server), status);
+    records_.withdrawn[process.name].push_back({now, now + duration.us, platform_->list_index()});
+    after(duration, [this, server] {
         Server& drained = *servers_[server];
         drained.draining = false;
-        if (drained.ready) platform_->set_all(names_of(server), "up");
+        if (drained.ready) platform_->set_all(listed_names(server), "up");
     });
 }
 
-void Fleet::rename_server(std::size_t server, Span hangs, Span out) {
-    Server& mine = *servers_[server];
-    if (!mine.ready || mine.draining) return;
-    pause_server(server, hangs);
-    mine.draining = true;
+void Fleet::rename_server(std::size_t server, Span hang_duration, Span absence) {
+    Server& process = *servers_[server];
+    if (!process.ready || process.draining) return;
+    pause_server(server, hang_duration);
+    process.draining = true;
     const Microseconds now = machine_clock_us();
-    platform_->set_all(names_of(server), "removed");
-    records_.withdrawn[mine.name].push_back({now, now + out.us, platform_->list_index()});
-    after(out, [this, server] {
+    platform_->set_all(listed_names(server), "removed");
+    records_.withdrawn[process.name].push_back({now, now + absence.us, platform_->list_index()});
+    after(absence, [this, server] {
         Server& renamed = *servers_[server];
         renamed.draining = false;
-        platform_->set_all(names_of(server), "removed");
+        platform_->set_all(listed_names(server), "removed");
         ++renamed.renamed;
         if (renamed.ready) list_server(server);
     });
@@ -454,28 +454,28 @@
 
 void Fleet::replace_quarter(std::size_t first, Span step) {
     const std::size_t count = std::max<std::size_t>(1, servers_.size() / 4);
-    const Span out = step * static_cast<double>(count + 2);
+    const Span absence = step * static_cast<double>(count + 2);
     for (std::size_t n = 0; n < count; ++n) {
         const std::size_t server = (first + n) % servers_.size();
-        after(step * static_cast<double>(n), [this, server, out, removed = n % 2 == 1] {
-            withdraw(server, removed ? "removed" : "draining", out);
+        after(step * static_cast<double>(n), [this, server, absence, removed = n % 2 == 1] {
+            withdraw(server, removed ? "removed" : "draining", absence);
         });
     }
 }
 
-void Fleet::note_written_lists() {
+void Fleet::record_written_lists() {
     const Microseconds clock_offset = machine_clock_us() - loop_.now().us;
     for (const auto& list : platform_->written_lists()) {
-        if (list.gateway.empty() || list.whole_at.us == 0) continue;
-        records_.told.push_back({static_cast<std::size_t>(std::atoi(list.gateway.c_str() + 1)),
-                                 list.whole_at.us + clock_offset, list.index});
+        if (list.gateway.empty() || list.completed_at.us == 0) continue;
+        records_.written_lists.push_back({static_cast<std::size_t>(std::atoi(list.gateway.c_str() + 1)),
+                                          list.completed_at.us + clock_offset, list.index});
     }
 }
 
-void Fleet::cut_off_server(std::size_t server, Span span) {
-    note_fault(server, span);
+void Fleet::cut_off_server(std::size_t server, Span duration) {
+    record_fault(server, duration);
     servers_[server]->proxy->cut_off(true);
-    after(span, [this, server] { servers_[server]->proxy->cut_off(false); });
+    after(duration, [this, server] { servers_[server]->proxy->cut_off(false); });
 }
 
 void Fleet::mute_server(std::size_t server) {
@@ -486,19 +486,19 @@
 
 void Fleet::reset_connections(std::size_t server, double share) { servers_[server]->proxy->reset(share); }
 
-void Fleet::slow_connections(std::size_t server, Span delay, Span span) {
-    note_fault(server, span + delay);
+void Fleet::slow_connections(std::size_t server, Span delay, Span duration) {
+    record_fault(server, duration + delay);
     servers_[server]->proxy->delay_new(delay);
-    after(span, [this, server] { servers_[server]->proxy->delay_new({}); });
+    after(duration, [this, server] { servers_[server]->proxy->delay_new({}); });
 }
 
 // ---- discovery
 
-void Fleet::silence_discovery(Span span) {
+void Fleet::silence_discovery(Span duration) {
     platform_->discovery_is_silent(true);
-    silent_until_ = std::max(silent_until_, loop_.now() + span);
-    after(span, [this] {
-        if (loop_.now() >= silent_until_) platform_->discovery_is_silent(false);
+    discovery_silent_until_ = std::max(discovery_silent_until_, loop_.now() + duration);
+    after(duration, [this] {
+        if (loop_.now() >= discovery_silent_until_) platform_->discovery_is_silent(false);
     });
 }
 
--- a/src/soak/fleet.h
+++ b/src/soak/fleet.h
@@ -1,5 +1,5 @@
 // The processes of a soak run: gateways, fake model servers behind proxies, and discovery. Every fault that
-// can be done to them is one method here, which notes its span for the judge.
+// can be injected is one method here, which records its interval for the judge.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,15 @@
 namespace copperfront::soak {
 
 struct FleetOptions {
-    std::string program;          // this program, which servers are started from
-    std::string gateway_program;  // that gateways are started from
+    std::string program;          // this program, which runs the model servers
+    std::string gateway_program;  // the program that runs the gateways
     std::string folder;           // for configurations, logs and records
     std::uint32_t seed = 1;
     std::size_t gateways = 5, prefill_servers = 12, decode_servers = 12;
-    // Entries of the list in all, where that is more than there are servers: each server then stands in it
-    // under many names.
+    // Total number of entries in the list, where that exceeds the number of servers: each server is then
+    // listed under many names.
     std::size_t listed_servers = 0;
-    double least_cpu_share = 1;  // of a core; each life of a gateway draws its own from there to one
+    double least_cpu_share = 1;  // of a core; each life of a gateway draws its share from here to 1
     double server_fault_share = 0.05;
     std::string shim;                // a library to preload into gateways; empty: none
     std::string log_level = "info";  // of gateways
@@ -35,68 +35,68 @@
 
 class Fleet : public GatewayDirectory {
   public:
-    // Throws std::runtime_error or NetTrouble where something cannot be started.
+    // Throws std::runtime_error or NetTrouble if something cannot be started.
     Fleet(Loop& loop, const FleetOptions& options, Records& records);
     ~Fleet() override;
 
     void start();
-    // Whether all gateways and servers have said that they are ready.
+    // Whether all gateways and servers have reported that they are ready.
     bool is_ready() const;
     bool gateways_have_exited() const;
 
     std::size_t gateway_count() const override { return gateways_.size(); }
-    bool takes_connections(std::size_t gateway) const override;
+    bool accepts_connections(std::size_t gateway) const override;
     Address gateway_address(std::size_t gateway) const override;
     std::uint32_t gateway_life(std::size_t gateway) const override;
 
     // ---- faults of gateways
-    // SIGTERM, the kill at the earliest time that the protocol allows, and a new start.
+    // SIGTERM, a SIGKILL at the earliest time that the protocol allows, and a new start.
     void restart_gateway(std::size_t gateway);
-    // SIGKILL without a word, and a new start.
+    // SIGKILL without warning, and a new start.
     void crash_gateway(std::size_t gateway);
-    // Another configuration, and SIGHUP.
+    // Writes another configuration and sends SIGHUP.
     void reload_gateway(std::size_t gateway);
-    // The process stands still.
-    void pause_gateway(std::size_t gateway, Span span);
-    // Reloads and shutdowns asked for in one moment, more than once each.
+    // Stops the process with SIGSTOP for this long.
+    void pause_gateway(std::size_t gateway, Span duration);
+    // Requests reloads and shutdowns at the same moment, more than once each.
     void signal_series(std::size_t gateway);
     void stop_all_gateways();
 
     // ---- faults of model servers and the network
     std::size_t server_count() const { return servers_.size(); }
     bool is_prefill(std::size_t server) const;
-    void pause_server(std::size_t server, Span span);
+    void pause_server(std::size_t server, Span duration);
     void crash_server(std::size_t server);
-    // Out of service for a while, as discovery tells.
-    void drain_server(std::size_t server, Span span);
-    void cut_off_server(std::size_t server, Span span);
-    // A quarter of the servers drains in steps, is taken out of the list for a part of the time, and comes
-    // back.
+    // Discovery reports the server as draining for this long.
+    void drain_server(std::size_t server, Span duration);
+    void cut_off_server(std::size_t server, Span duration);
+    // Withdraws a quarter of the servers one after another, every second of them by removing it from the
+    // list, and lists them again later.
     void replace_quarter(std::size_t first, Span step);
-    // It hangs, leaves the list, and comes back under other names, with its old places in the list given to
+    // The server hangs, leaves the list and returns under other names; its old places in the list go to
     // others.
-    void rename_server(std::size_t server, Span hangs, Span out);
-    // It runs, takes calls and says nothing of them for a while.
+    void rename_server(std::size_t server, Span hang_duration, Span absence);
+    // The process runs and accepts calls, but does not answer them for a while.
     void mute_server(std::size_t server);
     void silence_connections(std::size_t server, double share);
     void reset_connections(std::size_t server, double share);
-    void slow_connections(std::size_t server, Span delay, Span span);
+    void slow_connections(std::size_t server, Span delay, Span duration);
 
     // ---- faults of discovery
-    void write_lists_slowly(std::size_t pieces, Span apart) {
-        platform_->write_whole_lists_in_pieces(pieces, apart);
+    void write_lists_slowly(std::size_t pieces, Span interval) {
+        platform_->write_whole_lists_in_pieces(pieces, interval);
     }
     void indent_lists(bool indent) { platform_->indent_lists(indent); }
-    void silence_discovery(Span span);
+    void silence_discovery(Span duration);
     void silence_watches() { platform_->watches_fall_silent(); }
     void reset_watches() { platform_->watches_are_reset(); }
-    // At another address, which gateways learn from a new configuration.
+    // Moves discovery to another address, which gateways learn from a new configuration.
     void move_discovery();
 
-    // Ends every fault that is under way.
+    // Ends every fault that is in progress.
     void heal();
-    // When discovery wrote what to which gateway.
-    void note_written_lists();
+    // Records when discovery wrote which list to which gateway.
+    void record_written_lists();
 
   private:
     struct Gateway;
@@ -105,15 +105,15 @@
     void start_gateway(std::size_t gateway);
     void start_server(std::size_t server);
     void write_configuration(std::size_t gateway);
-    void share_cpu(std::size_t gateway);
+    void limit_cpu(std::size_t gateway);
     void gateway_ended(std::size_t gateway, int status);
     void server_ended(std::size_t server);
     void poll_ready(std::size_t gateway);
-    void note_fault(std::size_t server, Span span);
-    std::vector<std::string> names_of(std::size_t server) const;
+    void record_fault(std::size_t server, Span duration);
+    std::vector<std::string> listed_names(std::size_t server) const;
     void list_server(std::size_t server);
-    void withdraw(std::size_t server, const std::string& status, Span span);
-    void after(Span span, std::function<void()> what);
+    void withdraw(std::size_t server, const std::string& status, Span duration);
+    void after(Span duration, std::function<void()> action);
     void signal(const std::string& process, int which) { processes_.signal(process, which); }
 
     Loop& loop_;
@@ -124,8 +124,8 @@
     std::unique_ptr<standin::Platform> platform_;
     std::vector<std::unique_ptr<Timer>> timers_;
     bool stopping_ = false;
-    Instant silent_until_;     // discovery
-    bool cold_start_ = false;  // the list tells all servers as started just now
+    Instant discovery_silent_until_;
+    bool cold_start_ = false;  // the list reports all servers as started just now
     day::Processes processes_;
 };
 
--- a/src/soak/judge.cpp
+++ b/src/soak/judge.cpp
@@ -10,41 +10,41 @@
 namespace {
 
 constexpr Microseconds kMs = 1000;
-// Slack of the protocol's rules, and what a busy machine adds to what is measured here.
+// Tolerances of the protocol's rules, and what a busy machine adds to the times measured here.
 constexpr Microseconds kMachineSlack = 120 * kMs;
-constexpr Microseconds kHeldSlack = 300 * kMs + kMachineSlack;
-constexpr Microseconds kAfterDeadline = 500 * kMs + kMachineSlack;
-constexpr Microseconds kAfterClose = 100 * kMs + kMachineSlack;
-constexpr Microseconds kToldSlack = 150 * kMs + kMachineSlack;
-constexpr Microseconds kStillAccepting = 700 * kMs;
-constexpr Microseconds kResetSeen = 3 * kMs;
-constexpr Microseconds kSameMoment = 3 * kMs;
-// For an error or a close to a client that has stopped in the middle of a request.
-constexpr Microseconds kStalledAtMost = 3000 * kMs + kMachineSlack;
-// A change of the list counts as told this long after discovery had it, whatever became of watches.
-constexpr Microseconds kToldWithin = 6000 * kMs;
+constexpr Microseconds kHoldSlack = 300 * kMs + kMachineSlack;
+constexpr Microseconds kAnswerAfterDeadline = 500 * kMs + kMachineSlack;
+constexpr Microseconds kSendAfterClose = 100 * kMs + kMachineSlack;
+constexpr Microseconds kTimeLeftSlack = 150 * kMs + kMachineSlack;
+constexpr Microseconds kAcceptsAfterSigterm = 700 * kMs;
+constexpr Microseconds kResetPropagation = 3 * kMs;
+constexpr Microseconds kRecordOrderSlack = 3 * kMs;
+// Until a client that has stopped in the middle of a request gets an error or a close.
+constexpr Microseconds kStalledClientLimit = 3000 * kMs + kMachineSlack;
+// A change of the list counts as announced this long after discovery had it, whatever happened to watches.
+constexpr Microseconds kNotifiedWithin = 6000 * kMs;
 constexpr Microseconds kDrainGrace = 250 * kMs;
 constexpr Microseconds kDrainSlack = 50 * kMs;
 // What a slow network or a stopped process may add to the time between sending and reading.
-constexpr Microseconds kOnTheWay = 5000 * kMs;
-constexpr std::size_t kFindingsShown = 12;
+constexpr Microseconds kTransitLimit = 5000 * kMs;
+constexpr std::size_t kMaxFindingsShown = 12;
 
 struct Attempt {
     const ServerRecord* arrived = nullptr;
-    const ServerRecord* over = nullptr;  // ended, turned away or closed; null: never
+    const ServerRecord* outcome = nullptr;  // ended, never_ran or closed; null: none
     bool never_ran = false, held = false, closed = false;
 };
 
-// All that is known of one request.
-struct Story {
+// All records of one request.
+struct RequestHistory {
     const RequestRecord* client = nullptr;
     std::vector<const ServerRecord*> events;  // by time
     std::vector<Attempt> attempts;
 };
 
-bool overlaps(const std::vector<FaultSpan>& spans, Microseconds from, Microseconds until) {
-    return std::any_of(spans.begin(), spans.end(), [from, until](const FaultSpan& span) {
-        return span.from <= until && span.until >= from;
+bool overlaps(const std::vector<FaultInterval>& intervals, Microseconds from, Microseconds until) {
+    return std::any_of(intervals.begin(), intervals.end(), [from, until](const FaultInterval& interval) {
+        return interval.from <= until && interval.until >= from;
     });
 }
 
@@ -53,14 +53,14 @@
     Judge(const Records& records, const JudgeOptions& options) : records_(records), options_(options) {}
 
     Judgement run() {
-        gather();
-        for (const auto& [request, story] : stories_) {
-            check_final_answer(request, story);
-            check_held_state(request, story);
-            check_effects(request, story);
-            check_after_close(request, story);
-            check_told_deadlines(request, story);
-            check_withdrawn(request, story);
+        collect_histories();
+        for (const auto& [request, history] : histories_) {
+            check_final_answer(request, history);
+            check_held_state(request, history);
+            check_effects(request, history);
+            check_after_close(request, history);
+            check_reported_time_left(request, history);
+            check_withdrawn_servers(request, history);
         }
         check_stalled_clients();
         check_gateways();
@@ -68,12 +68,12 @@
     }
 
   private:
-    void find(const std::string& rule, const std::string& request, const std::string& what) {
+    void add_finding(const std::string& rule, const std::string& request, const std::string& what) {
         judgement_.findings.push_back({rule, request, what});
     }
 
-    void gather() {
-        for (const RequestRecord& request : records_.requests) stories_[request.request].client = &request;
+    void collect_histories() {
+        for (const RequestRecord& request : records_.requests) histories_[request.request].client = &request;
         std::vector<const ServerRecord*> sorted;
         for (const ServerRecord& record : records_.servers) sorted.push_back(&record);
         std::stable_sort(sorted.begin(), sorted.end(),
@@ -81,22 +81,22 @@
         std::map<std::pair<std::string, std::uint64_t>, std::pair<std::string, std::size_t>> open;
         for (const ServerRecord* record : sorted) {
             servers_.insert(record->server);
-            Story& story = stories_[record->request];
-            story.events.push_back(record);
+            RequestHistory& history = histories_[record->request];
+            history.events.push_back(record);
             const auto call = std::make_pair(record->server, record->call);
             if (record->event == ServerEvent::arrived) {
-                open[call] = {record->request, story.attempts.size()};
-                story.attempts.push_back({record});
+                open[call] = {record->request, history.attempts.size()};
+                history.attempts.push_back({record});
                 continue;
             }
             const auto it = open.find(call);
             if (it == open.end() || it->second.first != record->request) continue;
-            Attempt& attempt = story.attempts[it->second.second];
+            Attempt& attempt = history.attempts[it->second.second];
             attempt.held |= record->event == ServerEvent::held;
             attempt.never_ran |= record->event == ServerEvent::never_ran;
             attempt.closed |= record->event == ServerEvent::closed;
-            const bool over = record->event == ServerEvent::ended || attempt.never_ran || attempt.closed;
-            if (over && attempt.over == nullptr) attempt.over = record;
+            const bool has_ended = record->event == ServerEvent::ended || attempt.never_ran || attempt.closed;
+            if (has_ended && attempt.outcome == nullptr) attempt.outcome = record;
         }
     }
 
@@ -106,156 +106,161 @@
         }
         return nullptr;
     }
-    // Until when the gateway that has the request runs for sure.
+    // The time until which the gateway that has the request is known to run.
     Microseconds runs_until(const RequestRecord& request) const {
         const GatewayLife* const life = life_of(request);
         return life != nullptr && life->killed != 0 ? life->killed : records_.ended;
     }
-    Microseconds terminated(const RequestRecord& request) const {
+    Microseconds terminated_at(const RequestRecord& request) const {
         const GatewayLife* const life = life_of(request);
         return life != nullptr ? life->terminated : 0;
     }
 
-    void check_final_answer(const std::string& id, const Story& story) {
-        if (story.client == nullptr) return;
-        const RequestRecord& request = *story.client;
+    void check_final_answer(const std::string& id, const RequestHistory& history) {
+        if (history.client == nullptr) return;
+        const RequestRecord& request = *history.client;
         ++judgement_.requests;
         judgement_.completed += request.fate == Fate::completed;
         judgement_.rejected += request.fate == Fate::rejected;
         judgement_.failed += request.fate == Fate::failed || request.fate == Fate::broken;
         judgement_.left += request.fate == Fate::client_left;
-        if (request.spoilt) return find("lost", id, "its answer was spoilt on the way through the gateway");
+        if (request.corrupted)
+            return add_finding("lost", id, "its answer was corrupted on the way through the gateway");
         if (request.fate == Fate::client_left) return;
-        const bool killed_open = runs_until(request) < request.deadline + kAfterDeadline &&
-                                 runs_until(request) <= std::max(request.ended, request.sent) + kMachineSlack;
-        if (request.fate == Fate::closed_unanswered) return check_closed(id, story, killed_open);
-        // What waits behind another answer of its connection can't be answered before that has ended.
-        const bool in_line = request.behind_another && story.attempts.empty();
-        if (in_line && request.fate != Fate::broken) return;
+        const bool killed_while_open =
+            runs_until(request) < request.deadline + kAnswerAfterDeadline &&
+            runs_until(request) <= std::max(request.ended, request.sent) + kMachineSlack;
+        if (request.fate == Fate::closed_unanswered) return check_closed(id, history, killed_while_open);
+        // A request behind another answer of its connection can't be answered before that answer has ended.
+        const bool is_behind_another_answer = request.is_pipelined && history.attempts.empty();
+        if (is_behind_another_answer && request.fate != Fate::broken) return;
         if (request.fate == Fate::open) {
-            if (runs_until(request) > request.deadline + kAfterDeadline && !has_streamed(request)) {
-                find("lost", id, "no final answer by its deadline");
+            if (runs_until(request) > request.deadline + kAnswerAfterDeadline && !has_streamed(request)) {
+                add_finding("lost", id, "no final answer by its deadline");
             }
             return;
         }
-        if (request.fate == Fate::broken && killed_open) return check_late_stream(id, request);
-        if (request.first_byte > request.deadline + kAfterDeadline) {
-            find("lost", id, "its answer came long after its deadline");
+        if (request.fate == Fate::broken && killed_while_open) return check_late_stream(id, request);
+        if (request.first_byte > request.deadline + kAnswerAfterDeadline) {
+            add_finding("lost", id, "its answer came long after its deadline");
         }
     }
-    // The deadline is for the first token; a stream may go on after it.
+    // The deadline is for the first token; a stream may continue after it.
     static bool has_streamed(const RequestRecord& request) { return request.first_byte != 0; }
 
-    void check_closed(const std::string& id, const Story& story, bool killed_open) {
-        const RequestRecord& request = *story.client;
-        if (killed_open) {
+    void check_closed(const std::string& id, const RequestHistory& history, bool killed_while_open) {
+        const RequestRecord& request = *history.client;
+        if (killed_while_open) {
             const bool late =
-                terminated(request) != 0 && request.sent > terminated(request) + kStillAccepting;
-            if (late && !story.attempts.empty()) {
-                find("lost", id, "taken over 0.7 s after SIGTERM and unanswered at the kill");
+                terminated_at(request) != 0 && request.sent > terminated_at(request) + kAcceptsAfterSigterm;
+            if (late && !history.attempts.empty()) {
+                add_finding("lost", id, "taken over 0.7 s after SIGTERM and unanswered at the kill");
             }
             return;
         }
         // On a connection that was open before, a close may cross a request that has not been read.
-        if (!story.attempts.empty()) return find("lost", id, "sent to a server, and closed unanswered");
-        if (request.on_new_connection && !request.behind_another && terminated(request) == 0) {
-            find("lost", id, "a new connection was closed unanswered");
+        if (!history.attempts.empty())
+            return add_finding("lost", id, "sent to a server, and closed unanswered");
+        if (request.on_new_connection && !request.is_pipelined && terminated_at(request) == 0) {
+            add_finding("lost", id, "a new connection was closed unanswered");
         }
     }
 
     void check_late_stream(const std::string& id, const RequestRecord& request) {
-        if (terminated(request) != 0 && request.sent > terminated(request) + kStillAccepting) {
-            find("lost", id, "a stream taken over 0.7 s after SIGTERM was under way at the kill");
+        if (terminated_at(request) != 0 && request.sent > terminated_at(request) + kAcceptsAfterSigterm) {
+            add_finding("lost", id, "a stream taken over 0.7 s after SIGTERM was under way at the kill");
         }
     }
 
-    // The time of a held state runs while no attempt that has arrived is out, from the last hold or outcome.
-    void check_held_state(const std::string& id, const Story& story) {
-        if (story.client == nullptr) return;
+    // The time of a held state counts from the last hold or outcome, and only while no attempt that has
+    // arrived is in flight.
+    void check_held_state(const std::string& id, const RequestHistory& history) {
+        if (history.client == nullptr) return;
         bool held = false;
         std::string holder;
-        std::set<Call> out;
-        Waiting waiting;
+        std::set<Call> in_flight;
+        WaitingHandOvers waiting;
         Microseconds since = 0;
-        const Microseconds killed = runs_until(*story.client);
+        const Microseconds killed = runs_until(*history.client);
         const auto check = [&](Microseconds now) {
-            if (!held || !out.empty()) return;
+            if (!held || !in_flight.empty()) return;
             const Microseconds time = std::min(now, killed) - since;
             judgement_.longest_held = std::max(judgement_.longest_held, time);
-            if (time <= options_.release_within + kHeldSlack) return;
+            if (time <= options_.release_within + kHoldSlack) return;
             held = false;
             if (has_died(holder, since, since + time)) return;
-            // There was nobody who could have been told.
-            if (all_are_troubled(since + options_.release_within * 7 / 10, since + options_.release_within)) {
-                none_ran_ = true;
+            // No server could have received a release.
+            if (all_have_faults(since + options_.release_within * 7 / 10, since + options_.release_within)) {
+                all_were_unavailable_ = true;
                 return;
             }
-            find("held state", id, "held for " + std::to_string(time / kMs) + " ms");
+            add_finding("held state", id, "held for " + std::to_string(time / kMs) + " ms");
         };
-        for (const ServerRecord* event : story.events) {
+        for (const ServerRecord* event : history.events) {
             check(event->at);
             const auto call = std::make_pair(event->server, event->call);
             switch (event->event) {
                 case ServerEvent::arrived:
-                    out.insert(call);
+                    in_flight.insert(call);
                     if (event->role == Role::writer) waiting[call] = event->at;
                     break;
                 case ServerEvent::held:
                     held = true;
                     holder = event->server;
-                    since = end_of_trouble(holder, event->at);
+                    since = end_of_fault(holder, event->at);
                     break;
                 case ServerEvent::taken:
                     waiting.erase(call);
                     held = false;
                     break;
-                // Where an attempt waits for the state it lets go of nothing, whatever its server says; the
-                // time starts again with that attempt's outcome.
+                // A release during the wait of an attempt frees nothing, whatever its server records; the
+                // time starts again with the outcome of that attempt.
                 case ServerEvent::released:
-                    held = held && waits_since(waiting, event->at);
+                    held = held && has_waiting_hand_over(waiting, event->at);
                     break;
                 case ServerEvent::release_kept:
                     break;
                 case ServerEvent::never_ran:
                 case ServerEvent::ended:
                 case ServerEvent::closed:
-                    out.erase(call);
+                    in_flight.erase(call);
                     waiting.erase(call);
-                    since = std::max(since, end_of_trouble(event->server, event->at));
+                    since = std::max(since, end_of_fault(event->server, event->at));
                     break;
             }
         }
         check(records_.ended);
     }
 
-    // Hand-overs that have arrived and have not taken their state, by when they arrived.
+    // Hand-overs that have arrived and have not taken their state, with the time of their arrival.
     using Call = std::pair<std::string, std::uint64_t>;
-    using Waiting = std::map<Call, Microseconds>;
-    // Two servers may record what they do in the same moment in either order.
-    static bool waits_since(const Waiting& waiting, Microseconds at) {
+    using WaitingHandOvers = std::map<Call, Microseconds>;
+    // Two servers may record what they do at the same moment in either order.
+    static bool has_waiting_hand_over(const WaitingHandOvers& waiting, Microseconds at) {
         return std::any_of(waiting.begin(), waiting.end(),
-                           [at](const auto& one) { return at - one.second > kSameMoment; });
+                           [at](const auto& entry) { return at - entry.second > kRecordOrderSlack; });
     }
 
     // No server ran, or could be reached, for all of this time.
-    bool all_are_troubled(Microseconds from, Microseconds until) const {
+    bool all_have_faults(Microseconds from, Microseconds until) const {
         return std::all_of(servers_.begin(), servers_.end(), [&](const std::string& server) {
             const auto it = records_.server_faults.find(server);
             return it != records_.server_faults.end() &&
-                   std::any_of(it->second.begin(), it->second.end(), [from, until](const FaultSpan& span) {
-                       return span.from <= from && until <= span.until;
-                   });
+                   std::any_of(it->second.begin(), it->second.end(),
+                               [from, until](const FaultInterval& interval) {
+                                   return interval.from <= from && until <= interval.until;
+                               });
         });
     }
 
-    // An answer that is lost on its way reaches nobody: to its gateway the attempt is out until the way to
-    // the server is whole again, or the gateway closes the connection.
-    Microseconds end_of_trouble(const std::string& server, Microseconds at) const {
+    // An answer that is lost on its way reaches nobody: for its gateway the attempt is in flight until the
+    // path to the server works again, or the gateway closes the connection.
+    Microseconds end_of_fault(const std::string& server, Microseconds at) const {
         Microseconds end = at;
         const auto it = records_.server_faults.find(server);
         if (it == records_.server_faults.end()) return end;
-        for (const FaultSpan& span : it->second) {
-            if (span.from <= at && at <= span.until) end = std::max(end, span.until);
+        for (const FaultInterval& interval : it->second) {
+            if (interval.from <= at && at <= interval.until) end = std::max(end, interval.until);
         }
         return end;
     }
@@ -268,118 +273,126 @@
     }
 
     static bool is_hand_over(const Attempt& attempt) { return attempt.arrived->role == Role::writer; }
-    bool is_troubled(const std::string& server, Microseconds from, Microseconds until) const {
+    bool has_fault(const std::string& server, Microseconds from, Microseconds until) const {
         const auto it = records_.server_faults.find(server);
         return it != records_.server_faults.end() && overlaps(it->second, from, until);
     }
 
-    void check_effects(const std::string& id, const Story& story) {
-        if (story.client == nullptr) return;
-        const Effect effect = story.client->effect;
+    void check_effects(const std::string& id, const RequestHistory& history) {
+        if (history.client == nullptr) return;
+        const Effect effect = history.client->effect;
         const Attempt* first = nullptr;
-        for (const Attempt& attempt : story.attempts) {
+        for (const Attempt& attempt : history.attempts) {
             if (!is_hand_over(attempt) || attempt.never_ran) continue;
             if (first == nullptr) {
                 first = &attempt;
                 continue;
             }
-            if (effect == Effect::effectful) find("duplicate", id, "a second attempt may have run");
+            if (effect == Effect::effectful) add_finding("duplicate", id, "a second attempt may have run");
             const Microseconds apart = attempt.arrived->at - first->arrived->at;
             if (effect == Effect::receipted && apart > options_.repeat_window + kMachineSlack) {
-                find("duplicate", id, "sent again " + std::to_string(apart / kMs) + " ms after the first");
+                add_finding("duplicate", id,
+                            "sent again " + std::to_string(apart / kMs) + " ms after the first");
             }
         }
-        if (first != nullptr && effect == Effect::effectful && story.client->fate == Fate::rejected) {
-            find("duplicate", id, "rejected after an attempt that may have run");
+        if (first != nullptr && effect == Effect::effectful && history.client->fate == Fate::rejected) {
+            add_finding("duplicate", id, "rejected after an attempt that may have run");
         }
-        check_second_copies(id, story);
+        check_overlapping_attempts(id, history);
     }
 
-    // An attempt that arrives while an earlier one is out on an open connection.
-    void check_second_copies(const std::string& id, const Story& story) {
-        for (std::size_t n = 1; n < story.attempts.size(); ++n) {
-            const Attempt& earlier = story.attempts[n - 1];
-            const Attempt& later = story.attempts[n];
-            const Microseconds over = earlier.over != nullptr ? earlier.over->at : records_.ended;
-            // A reset by the network reaches both ends at once, and each sees it in its own time.
-            if (over <= later.arrived->at + kResetSeen || earlier.never_ran || later.never_ran) continue;
-            // What lay in the socket of a server that hung, and was read once it ran again.
-            if (is_troubled(later.arrived->server, later.arrived->at - kMachineSlack, later.arrived->at)) {
+    // An attempt must not arrive while an earlier one is in flight on an open connection.
+    void check_overlapping_attempts(const std::string& id, const RequestHistory& history) {
+        for (std::size_t n = 1; n < history.attempts.size(); ++n) {
+            const Attempt& earlier = history.attempts[n - 1];
+            const Attempt& later = history.attempts[n];
+            const Microseconds ended = earlier.outcome != nullptr ? earlier.outcome->at : records_.ended;
+            // A reset by the network reaches both ends at once, but each notices it at a time of its own.
+            if (ended <= later.arrived->at + kResetPropagation || earlier.never_ran || later.never_ran)
+                continue;
+            // The call was in the socket buffer of a server that hung, and was read once it ran again.
+            if (has_fault(later.arrived->server, later.arrived->at - kMachineSlack, later.arrived->at)) {
                 continue;
             }
-            if (has_died(earlier.arrived->server, earlier.arrived->at, over)) continue;
-            // A server that hangs or is cut off records late what had happened on its connection.
-            if (is_troubled(earlier.arrived->server, earlier.arrived->at, over)) continue;
-            find("duplicate", id,
-                 "an attempt arrived " + std::to_string((over - later.arrived->at) / kMs) +
-                     " ms before the earlier one was over");
+            if (has_died(earlier.arrived->server, earlier.arrived->at, ended)) continue;
+            // A server that hangs or is cut off records late what happened on its connection.
+            if (has_fault(earlier.arrived->server, earlier.arrived->at, ended)) continue;
+            add_finding("duplicate", id,
+                        "an attempt arrived " + std::to_string((ended - later.arrived->at) / kMs) +
+                            " ms before the earlier one ended");
         }
     }
 
-    void check_after_close(const std::string& id, const Story& story) {
-        if (story.client == nullptr || story.client->fate != Fate::client_left) return;
-        const Microseconds left = story.client->ended;
-        for (const Attempt& attempt : story.attempts) {
+    void check_after_close(const std::string& id, const RequestHistory& history) {
+        if (history.client == nullptr || history.client->fate != Fate::client_left) return;
+        const Microseconds left = history.client->ended;
+        for (const Attempt& attempt : history.attempts) {
             const Microseconds after = attempt.arrived->at - left;
-            if (after <= kAfterClose || is_troubled(attempt.arrived->server, left, attempt.arrived->at)) {
+            if (after <= kSendAfterClose || has_fault(attempt.arrived->server, left, attempt.arrived->at)) {
                 continue;
             }
-            find("lost", id, "an attempt began " + std::to_string(after / kMs) + " ms after its client left");
+            add_finding("lost", id,
+                        "an attempt began " + std::to_string(after / kMs) + " ms after its client left");
         }
     }
 
-    void check_told_deadlines(const std::string& id, const Story& story) {
-        if (story.client == nullptr) return;
-        for (const Attempt& attempt : story.attempts) {
+    void check_reported_time_left(const std::string& id, const RequestHistory& history) {
+        if (history.client == nullptr) return;
+        for (const Attempt& attempt : history.attempts) {
             const ServerRecord& arrived = *attempt.arrived;
-            if (arrived.time_left_ms < 0 || is_troubled(arrived.server, arrived.at - kOnTheWay, arrived.at)) {
+            if (arrived.time_left_ms < 0 ||
+                has_fault(arrived.server, arrived.at - kTransitLimit, arrived.at)) {
                 continue;
             }
-            const Microseconds over =
-                arrived.time_left_ms * kMs - std::max<Microseconds>(0, story.client->deadline - arrived.at);
-            if (over > kToldSlack) {
-                find("deadline", id, "told a server " + std::to_string(over / kMs) + " ms more than is left");
+            const Microseconds excess =
+                arrived.time_left_ms * kMs - std::max<Microseconds>(0, history.client->deadline - arrived.at);
+            if (excess > kTimeLeftSlack) {
+                add_finding(
+                    "deadline", id,
+                    "reported " + std::to_string(excess / kMs) + " ms more to a server than were left");
             }
         }
     }
 
-    // Until when an attempt may be sent to a server that is withdrawn: its gateway was told of it, or counts
-    // as told.
-    Microseconds latest_send(const Story& story, const FaultSpan& change) const {
-        Microseconds at = change.from + kToldWithin + kDrainGrace;
-        if (story.client == nullptr || change.list_index == 0) return at;
-        const GatewayLife* const life = life_of(*story.client);
+    // The time until which an attempt may be sent to a server that is withdrawn, counted from when its
+    // gateway was notified of it, or counts as notified.
+    Microseconds latest_send_time(const RequestHistory& history, const FaultInterval& change) const {
+        Microseconds at = change.from + kNotifiedWithin + kDrainGrace;
+        if (history.client == nullptr || change.list_index == 0) return at;
+        const GatewayLife* const life = life_of(*history.client);
         const Microseconds started = life != nullptr ? life->started : 0;
-        for (const ListWritten& list : records_.told) {
-            if (list.gateway != story.client->gateway || list.index < change.list_index) continue;
+        for (const WrittenListRecord& list : records_.written_lists) {
+            if (list.gateway != history.client->gateway || list.index < change.list_index) continue;
             if (list.at >= started) at = std::min(at, list.at + kDrainGrace + kDrainSlack);
         }
         return at;
     }
 
-    void check_withdrawn(const std::string& id, const Story& story) {
-        for (const Attempt& attempt : story.attempts) {
-            const auto spans = records_.withdrawn.find(attempt.arrived->server);
-            if (spans == records_.withdrawn.end()) continue;
+    void check_withdrawn_servers(const std::string& id, const RequestHistory& history) {
+        for (const Attempt& attempt : history.attempts) {
+            const auto intervals = records_.withdrawn.find(attempt.arrived->server);
+            if (intervals == records_.withdrawn.end()) continue;
             const Microseconds at = attempt.arrived->at;
-            for (const FaultSpan& span : spans->second) {
-                const Microseconds latest = latest_send(story, span) + kMachineSlack;
-                if (at > latest && at < span.until &&
-                    !is_troubled(attempt.arrived->server, at - kOnTheWay, at)) {
-                    find("drain", id, "sent " + std::to_string((at - span.from) / kMs) + " ms after a drain");
+            for (const FaultInterval& interval : intervals->second) {
+                const Microseconds latest = latest_send_time(history, interval) + kMachineSlack;
+                if (at > latest && at < interval.until &&
+                    !has_fault(attempt.arrived->server, at - kTransitLimit, at)) {
+                    add_finding("drain", id,
+                                "sent " + std::to_string((at - interval.from) / kMs) + " ms after a drain");
                 }
             }
         }
     }
 
-    // Unless the gateway has ended before: its end closes the connection too.
+    // Does not apply if the gateway has ended before: its end closes the connection too.
     void check_stalled_clients() {
         for (const StalledRecord& record : records_.stalled) {
-            const Microseconds latest = record.stopped + kStalledAtMost;
+            const Microseconds latest = record.stopped + kStalledClientLimit;
             if (record.stopped == 0 || latest > records_.ended) continue;
             if (record.ended == 0 || record.ended > latest) {
-                find("bad client", "n" + std::to_string(record.gateway),
-                     "one that stopped in the middle of a request got neither an error nor a close in time");
+                add_finding("bad client", "n" + std::to_string(record.gateway),
+                            "a client that stopped in the middle of a request got neither an error nor a "
+                            "close in time");
             }
         }
     }
@@ -389,22 +402,23 @@
             const std::string name = "n" + std::to_string(life.gateway);
             const bool killed = life.killed != 0;
             if (life.exited != 0 && life.status != 0 && !killed) {
-                find("crash", name, "ended with status " + std::to_string(life.status));
+                add_finding("crash", name, "ended with status " + std::to_string(life.status));
             }
             if (life.exited != 0 && life.status == 0 && life.terminated == 0) {
-                find("crash", name, "ended without a signal");
+                add_finding("crash", name, "ended without a signal");
             }
-            if (life.violations > 0 && !none_ran_) {
-                find("self check", name, std::to_string(life.violations) + " violations in its own count");
+            if (life.violations > 0 && !all_were_unavailable_) {
+                add_finding("self check", name,
+                            std::to_string(life.violations) + " violations in its own count");
             }
         }
     }
 
     const Records& records_;
     const JudgeOptions& options_;
-    std::map<std::string, Story> stories_;
+    std::map<std::string, RequestHistory> histories_;
     std::set<std::string> servers_;
-    bool none_ran_ = false;  // at some time, so that a release could not be answered
+    bool all_were_unavailable_ = false;  // at some time, so that a release could not be answered
     Judgement judgement_;
 };
 
@@ -415,10 +429,11 @@
     out << requests << " requests: " << completed << " completed, " << rejected << " rejected, " << failed
         << " failed, " << left << " left by their clients; longest held state " << longest_held / kMs
         << " ms; " << findings.size() << " findings\n";
-    for (std::size_t n = 0; n < findings.size() && n < kFindingsShown; ++n) {
+    for (std::size_t n = 0; n < findings.size() && n < kMaxFindingsShown; ++n) {
         out << "  " << findings[n].rule << ": " << findings[n].request << ": " << findings[n].what << '\n';
     }
-    if (findings.size() > kFindingsShown) out << "  and " << findings.size() - kFindingsShown << " more\n";
+    if (findings.size() > kMaxFindingsShown)
+        out << "  and " << findings.size() - kMaxFindingsShown << " more\n";
     return out.str();
 }
 
--- a/src/soak/judge.h
+++ b/src/soak/judge.h
@@ -1,4 +1,4 @@
-// Judges a soak run by the platform's invariants, from what clients and servers recorded alone.
+// Judges a soak run against the platform's invariants, only from the records of clients and servers.
 #pragma once
 
 #include <string>
@@ -10,7 +10,8 @@
 
 struct JudgeOptions {
     Microseconds release_within = 1000000;
-    Microseconds repeat_window = 2000000;  // in which servers know a repeat of a deduplicated request
+    Microseconds repeat_window =
+        2000000;  // time in which servers recognize a repeat of a deduplicated request
 };
 
 struct Finding {
--- a/src/soak/load_client.cpp
+++ b/src/soak/load_client.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr std::int64_t kShortestDeadlineMs = 300, kLongestDeadlineMs = 3000;
-constexpr std::int64_t kLeastTimeMs = 10;
-constexpr int kLittleTimePercent = 5;
-constexpr std::int64_t kThinkMs = 150;
-// Past its deadline a request is waited for so long before it counts as never answered.
-constexpr std::int64_t kPatienceMs = 1500;
+constexpr std::int64_t kMinDeadlineMs = 10;
+constexpr int kMinDeadlinePercent = 5;
+constexpr std::int64_t kMaxThinkTimeMs = 150;
+// A request whose deadline has passed by this much counts as never answered.
+constexpr std::int64_t kAnswerGraceMs = 1500;
 constexpr int kPercent = 100;
-constexpr int kLeavesPercent = 10, kPipelinesPercent = 4, kInPiecesPercent = 6, kNewConnectionPercent = 15;
-constexpr std::int64_t kLeavesWithinMs = 400;
-constexpr int kEventsOfAStream = 5;
-constexpr std::size_t kAnswerBytes = 1 << 20;
+constexpr int kDisconnectPercent = 10, kPipelinePercent = 4, kSplitPercent = 6, kNewConnectionPercent = 15;
+constexpr std::int64_t kDisconnectWithinMs = 400;
+constexpr int kEventsPerStream = 5;
+constexpr std::size_t kMaxAnswerBytes = 1 << 20;
 
 struct ServiceClass {
     const char* name;
@@ -25,8 +25,8 @@
 constexpr ServiceClass kClasses[] = {
     {"idempotent", Effect::pure}, {"deduplicated", Effect::receipted}, {"once", Effect::effectful}};
 
-// Whole, in order, and of one attempt.
-bool is_sound_stream(const std::string& body) {
+// Whether the stream is complete, in order, and of one attempt.
+bool is_intact_stream(const std::string& body) {
     const std::string start = R"("content":")";
     std::string attempt;
     int events = 0;
@@ -39,7 +39,7 @@
         if (content.substr(0, slash) != attempt) return false;
         if (std::atoi(content.c_str() + slash + 1) != ++events) return false;
     }
-    return events == kEventsOfAStream && body.find("data: [DONE]\n\n") != std::string::npos;
+    return events == kEventsPerStream && body.find("data: [DONE]\n\n") != std::string::npos;
 }
 
 }  // namespace
@@ -50,63 +50,64 @@
       gateways_(gateways),
       records_(records),
       name_(std::move(name)),
-      chance_(seed),
-      think_(loop, [this] { go_on(); }),
-      leave_(loop, [this] { leave(); }),
-      patience_(loop, [this] { give_up_waiting(); }),
-      rest_later_(loop, [this] {
-          if (stream_) stream_->send(std::exchange(rest_of_request_, {}));
+      random_(seed),
+      think_timer_(loop, [this] { send_or_connect(); }),
+      disconnect_timer_(loop, [this] { disconnect_early(); }),
+      answer_timer_(loop, [this] { stop_waiting(); }),
+      remainder_timer_(loop, [this] {
+          if (stream_) stream_->send(std::exchange(request_remainder_, {}));
       }) {}
 
 LoadClient::~LoadClient() { Stream::hand_off(loop_, std::move(stream_), false); }
 
-void LoadClient::rest() { think_.set({between(0, kThinkMs) * 1000}); }
+void LoadClient::schedule_next_request() { think_timer_.set({draw_between(0, kMaxThinkTimeMs) * 1000}); }
 
-void LoadClient::go_on() {
-    if (stopped_ || !waiting_.empty()) return;
-    if (stream_ && between(1, kPercent) <= kNewConnectionPercent) drop_connection(false);
+void LoadClient::send_or_connect() {
+    if (stopped_ || !pending_.empty()) return;
+    if (stream_ && draw_between(1, kPercent) <= kNewConnectionPercent) drop_connection(false);
     if (stream_) return send_requests();
     connect();
 }
 
 void LoadClient::connect() {
     const std::size_t count = gateways_.gateway_count();
-    const auto first = static_cast<std::size_t>(between(0, static_cast<std::int64_t>(count) - 1));
+    const auto first = static_cast<std::size_t>(draw_between(0, static_cast<std::int64_t>(count) - 1));
     for (std::size_t n = 0; n < count; ++n) {
         const std::size_t gateway = (first + n) % count;
-        if (!gateways_.takes_connections(gateway)) continue;
+        if (!gateways_.accepts_connections(gateway)) continue;
         gateway_ = gateway;
         gateway_life_ = gateways_.gateway_life(gateway);
-        fresh_ = true;
+        is_new_connection_ = true;
         stream_ = Stream::dial(loop_, gateways_.gateway_address(gateway), {0, 0}, *this);
         return;
     }
-    rest();
+    schedule_next_request();
 }
 
 void LoadClient::stream_made(Stream&) {
     if (!stopped_) send_requests();
 }
 
-std::string LoadClient::next_request(bool behind_another) {
-    const ServiceClass& service = kClasses[between(0, std::size(kClasses) - 1)];
-    const bool has_little_time = between(1, kPercent) <= kLittleTimePercent;
-    const std::int64_t deadline_ms = has_little_time ? between(kLeastTimeMs, kShortestDeadlineMs)
-                                                     : between(kShortestDeadlineMs, kLongestDeadlineMs);
+std::string LoadClient::next_request(bool is_pipelined) {
+    const ServiceClass& service = kClasses[draw_between(0, std::size(kClasses) - 1)];
+    const bool has_short_deadline = draw_between(1, kPercent) <= kMinDeadlinePercent;
+    const std::int64_t deadline_ms = has_short_deadline
+                                         ? draw_between(kMinDeadlineMs, kShortestDeadlineMs)
+                                         : draw_between(kShortestDeadlineMs, kLongestDeadlineMs);
     RequestRecord record;
-    record.request = name_ + "x" + std::to_string(++sent_);
+    record.request = name_ + "x" + std::to_string(++sent_count_);
     record.effect = service.effect;
     record.gateway = gateway_;
     record.gateway_life = gateway_life_;
     record.sent = machine_clock_us();
     record.deadline = record.sent + deadline_ms * 1000;
-    record.on_new_connection = fresh_;
-    record.behind_another = behind_another;
-    waiting_.emplace_back();
-    waiting_.back().record = records_.size();
+    record.on_new_connection = is_new_connection_;
+    record.is_pipelined = is_pipelined;
+    pending_.emplace_back();
+    pending_.back().record = records_.size();
     records_.push_back(record);
     const std::string body = R"({"model":"chat","stream":true,"messages":[{"role":"user","content":")" +
-                             std::string(static_cast<std::size_t>(between(10, 2000)), 'a') + R"("}]})";
+                             std::string(static_cast<std::size_t>(draw_between(10, 2000)), 'a') + R"("}]})";
     return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + record.request +
            "\r\nX-Service-Class: " + service.name + "\r\nX-Account: acme\r\nX-Session-Key: " + name_ +
            "\r\nX-Time-Left-Ms: " + std::to_string(deadline_ms) +
@@ -116,115 +117,115 @@
 
 void LoadClient::send_requests() {
     std::string text = next_request(false);
-    if (between(1, kPercent) <= kPipelinesPercent) text += next_request(true);
-    patience_.set({(kLongestDeadlineMs + kPatienceMs) * 1000});
-    if (between(1, kPercent) <= kInPiecesPercent) {
+    if (draw_between(1, kPercent) <= kPipelinePercent) text += next_request(true);
+    answer_timer_.set({(kLongestDeadlineMs + kAnswerGraceMs) * 1000});
+    if (draw_between(1, kPercent) <= kSplitPercent) {
         const auto half = text.size() / 2;
-        rest_of_request_ = text.substr(half);
+        request_remainder_ = text.substr(half);
         text.resize(half);
-        rest_later_.set({between(1, 40) * 1000});
+        remainder_timer_.set({draw_between(1, 40) * 1000});
     }
     stream_->send(text);
-    fresh_ = false;
-    leaving_ = Leaving::stays;
-    if (between(1, kPercent) > kLeavesPercent) return;
-    leaving_ = static_cast<Leaving>(between(1, 3));
-    leave_.set({between(0, kLeavesWithinMs) * 1000});
+    is_new_connection_ = false;
+    disconnect_mode_ = DisconnectMode::stays_connected;
+    if (draw_between(1, kPercent) > kDisconnectPercent) return;
+    disconnect_mode_ = static_cast<DisconnectMode>(draw_between(1, 3));
+    disconnect_timer_.set({draw_between(0, kDisconnectWithinMs) * 1000});
 }
 
-void LoadClient::leave() {
-    if (!stream_ || waiting_.empty() || leaving_ == Leaving::stays) return;
+void LoadClient::disconnect_early() {
+    if (!stream_ || pending_.empty() || disconnect_mode_ == DisconnectMode::stays_connected) return;
     const Microseconds now = machine_clock_us();
-    for (const Waiting& waiting : waiting_) {
-        RequestRecord& record = record_of(waiting);
+    for (const PendingRequest& pending : pending_) {
+        RequestRecord& record = record_of(pending);
         record.fate = Fate::client_left;
         record.ended = now;
     }
-    waiting_.clear();
-    patience_.off();
-    // One that ends its sending stays for a while to read.
-    if (leaving_ == Leaving::ends_sending) Stream::hand_off_politely(loop_, std::move(stream_));
-    drop_connection(leaving_ == Leaving::resets);
-    rest();
+    pending_.clear();
+    answer_timer_.off();
+    // A client that only shuts down its sending side stays for a while to read.
+    if (disconnect_mode_ == DisconnectMode::half_close) Stream::hand_off_politely(loop_, std::move(stream_));
+    drop_connection(disconnect_mode_ == DisconnectMode::reset_connection);
+    schedule_next_request();
 }
 
 void LoadClient::bytes_came(Stream&) {
     while (stream_ && stream_->held() > 0) {
-        // Bytes that answer nothing.
-        if (waiting_.empty()) return drop_connection(true);
+        // Bytes that belong to no request.
+        if (pending_.empty()) return drop_connection(true);
         if (!read_answer()) return;
     }
 }
 
-// False: the connection is of no more use.
+// False: the connection cannot be used any more.
 bool LoadClient::read_answer() {
-    Waiting& waiting = waiting_.front();
-    RequestRecord& record = record_of(waiting);
+    PendingRequest& pending = pending_.front();
+    RequestRecord& record = record_of(pending);
     if (record.first_byte == 0) record.first_byte = machine_clock_us();
-    if (!waiting.answer) {
-        waiting.answer = std::make_unique<http::Message>(
-            http::Sort::answer, http::Bounds{8192, kAnswerBytes},
-            [body = &waiting.body](std::string_view piece) { body->append(piece); });
+    if (!pending.answer) {
+        pending.answer = std::make_unique<http::Message>(
+            http::Sort::answer, http::Bounds{8192, kMaxAnswerBytes},
+            [body = &pending.body](std::string_view piece) { body->append(piece); });
     }
-    stream_->drain(waiting.answer->take(stream_->front()));
-    if (waiting.answer->trouble() != http::Trouble::none) {
-        record.spoilt = true;
+    stream_->drain(pending.answer->take(stream_->front()));
+    if (pending.answer->trouble() != http::Trouble::none) {
+        record.corrupted = true;
         finish(Fate::failed);
         drop_connection(true);
-        rest();
+        schedule_next_request();
         return false;
     }
-    if (!waiting.answer->done()) return true;
-    const http::Head head = waiting.answer->head();
+    if (!pending.answer->done()) return true;
+    const http::Head head = pending.answer->head();
     if (head.status / 100 == 1) {
-        waiting.answer.reset();
+        pending.answer.reset();
         return true;
     }
     const bool completed = head.status == 200;
-    if (completed) record.spoilt = !is_sound_stream(waiting.body);
+    if (completed) record.corrupted = !is_intact_stream(pending.body);
     finish(completed                                  ? Fate::completed
            : head.status == 429 || head.status == 503 ? Fate::rejected
                                                       : Fate::failed);
     if (!head.keeps_open) {
-        while (!waiting_.empty()) finish(Fate::closed_unanswered);
+        while (!pending_.empty()) finish(Fate::closed_unanswered);
         drop_connection(false);
     }
-    if (waiting_.empty()) {
-        leaving_ = Leaving::stays;
-        patience_.off();
-        rest();
+    if (pending_.empty()) {
+        disconnect_mode_ = DisconnectMode::stays_connected;
+        answer_timer_.off();
+        schedule_next_request();
     }
     return stream_ != nullptr;
 }
 
 void LoadClient::finish(Fate fate) {
-    RequestRecord& record = record_of(waiting_.front());
+    RequestRecord& record = record_of(pending_.front());
     record.fate = fate;
     record.ended = machine_clock_us();
-    waiting_.pop_front();
+    pending_.pop_front();
 }
 
 void LoadClient::stream_closed(Stream&, Closing, const std::string&) {
-    while (!waiting_.empty()) {
-        const RequestRecord& record = record_of(waiting_.front());
+    while (!pending_.empty()) {
+        const RequestRecord& record = record_of(pending_.front());
         finish(record.first_byte != 0 ? Fate::broken : Fate::closed_unanswered);
     }
-    patience_.off();
+    answer_timer_.off();
     drop_connection(false);
-    rest();
+    schedule_next_request();
 }
 
-void LoadClient::give_up_waiting() {
-    // They stay open in the records.
-    waiting_.clear();
+void LoadClient::stop_waiting() {
+    // The requests stay open in the records.
+    pending_.clear();
     drop_connection(false);
-    rest();
+    schedule_next_request();
 }
 
 void LoadClient::drop_connection(bool reset) {
-    leave_.off();
-    rest_later_.off();
-    rest_of_request_.clear();
+    disconnect_timer_.off();
+    remainder_timer_.off();
+    request_remainder_.clear();
     if (reset) {
         Stream::reset(loop_, std::move(stream_));
     } else {
--- a/src/soak/load_client.h
+++ b/src/soak/load_client.h
@@ -1,5 +1,5 @@
 // One client of a soak run: sends requests to gateways over connections that it keeps for as long as they
-// stay open, leaves some of them early in every way a client can, and records what it was answered.
+// stay open, disconnects early from some of them in every way a client can, and records the answers.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +16,12 @@
 
 namespace copperfront::soak {
 
-// What a client may know of the gateways, as a load balancer in front of them tells it.
+// What a client may know of the gateways, as a load balancer in front of them would report it.
 class GatewayDirectory {
   public:
     virtual ~GatewayDirectory() = default;
     virtual std::size_t gateway_count() const = 0;
-    virtual bool takes_connections(std::size_t gateway) const = 0;
+    virtual bool accepts_connections(std::size_t gateway) const = 0;
     virtual Address gateway_address(std::size_t gateway) const = 0;
     virtual std::uint32_t gateway_life(std::size_t gateway) const = 0;
 };
@@ -32,14 +32,14 @@
                std::string name, std::uint32_t seed);
     ~LoadClient() override;
 
-    void start() { think_.set({0}); }
-    // Sends nothing more; what is open goes on.
+    void start() { think_timer_.set({0}); }
+    // Sends no further requests; open ones continue.
     void stop() { stopped_ = true; }
-    bool is_idle() const { return waiting_.empty(); }
+    bool is_idle() const { return pending_.empty(); }
 
   private:
-    enum class Leaving { stays, closes, resets, ends_sending };
-    struct Waiting {
+    enum class DisconnectMode { stays_connected, close_connection, reset_connection, half_close };
+    struct PendingRequest {
         std::size_t record = 0;
         std::unique_ptr<http::Message> answer;
         std::string body;
@@ -49,35 +49,35 @@
     void bytes_came(Stream&) override;
     void stream_closed(Stream&, Closing why, const std::string& what) override;
 
-    void go_on();
+    void send_or_connect();
     void connect();
     void send_requests();
-    std::string next_request(bool behind_another);
+    std::string next_request(bool is_pipelined);
     bool read_answer();
     void finish(Fate fate);
-    void leave();
-    void give_up_waiting();
-    void rest();
+    void disconnect_early();
+    void stop_waiting();
+    void schedule_next_request();
     void drop_connection(bool reset);
-    std::int64_t between(std::int64_t least, std::int64_t most) {
-        return std::uniform_int_distribution<std::int64_t>(least, most)(chance_);
+    std::int64_t draw_between(std::int64_t least, std::int64_t most) {
+        return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
     }
-    RequestRecord& record_of(const Waiting& waiting) { return records_[waiting.record]; }
+    RequestRecord& record_of(const PendingRequest& pending) { return records_[pending.record]; }
 
     Loop& loop_;
     const GatewayDirectory& gateways_;
     std::vector<RequestRecord>& records_;
     const std::string name_;
-    std::minstd_rand chance_;
+    std::minstd_rand random_;
     std::unique_ptr<Stream> stream_;
     std::size_t gateway_ = 0;
     std::uint32_t gateway_life_ = 0;
-    bool fresh_ = true, stopped_ = false;
-    std::deque<Waiting> waiting_;  // in the order in which they were sent
-    std::uint64_t sent_ = 0;
-    Leaving leaving_ = Leaving::stays;
-    std::string rest_of_request_;
-    Timer think_, leave_, patience_, rest_later_;
+    bool is_new_connection_ = true, stopped_ = false;
+    std::deque<PendingRequest> pending_;  // in the order in which they were sent
+    std::uint64_t sent_count_ = 0;
+    DisconnectMode disconnect_mode_ = DisconnectMode::stays_connected;
+    std::string request_remainder_;
+    Timer think_timer_, disconnect_timer_, answer_timer_, remainder_timer_;
 };
 
 }  // namespace copperfront::soak
--- a/src/soak/model_server.h
+++ b/src/soak/model_server.h
@@ -1,6 +1,6 @@
-// A fake model server that runs as a process of its own, so that it can be stopped, killed and started again
-// beside gateways. It keeps the platform's protocol, fails at random as model servers do, and records what
-// reached it. States of prefills are files in a folder that all servers of a run share.
+// A fake model server that runs as a process of its own, so that it can be stopped, killed and restarted
+// beside gateways. It implements the platform's protocol, fails at random as model servers do, and records
+// what it received. The states that prefills leave are files in a folder that all servers of a run share.
 #pragma once
 
 #include <cstdint>
@@ -18,26 +18,26 @@
     Role role = Role::reader;
     std::string listen = "127.0.0.1:0";
     std::string states_folder;
-    std::string records_file;  // appended to
+    std::string records_file;  // opened for appending
     std::uint32_t seed = 1;
-    double fault_share = 0.05;  // of calls that meet a fault
+    double fault_share = 0.05;  // share of the calls that meet a fault
 };
 
 class ModelServer {
   public:
-    // Throws NetTrouble where it cannot listen, std::runtime_error where its files cannot be opened.
+    // Throws NetTrouble if it cannot listen, std::runtime_error if its files cannot be opened.
     ModelServer(Loop& loop, const ModelServerOptions& options);
     ~ModelServer();
     ModelServer(const ModelServer&) = delete;
     ModelServer& operator=(const ModelServer&) = delete;
     Address address() const;
-    // For so long calls are taken, and nothing is said of any: hand-overs wait, prefills leave their state.
+    // For this long calls are accepted and none is answered: hand-overs wait, prefills leave their state.
     void fall_silent(Span span);
 
   private:
     class Connection;
-    struct State;
-    std::unique_ptr<State> state_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace copperfront::soak
--- a/src/soak/records.cpp
+++ b/src/soak/records.cpp
@@ -17,7 +17,7 @@
     {ServerEvent::released, "released"},
     {ServerEvent::release_kept, "release_kept"},
 }};
-constexpr const char* kEndOfLine = "end";
+constexpr const char* kLineEndMarker = "end";
 
 }  // namespace
 
@@ -39,7 +39,7 @@
     std::ostringstream line;
     line << record.at << ' ' << text_of(record.event) << ' ' << record.request << ' ' << record.server << ' '
          << (record.role == Role::reader ? "prefill" : "decode") << ' ' << record.call << ' '
-         << record.time_left_ms << ' ' << kEndOfLine << '\n';
+         << record.time_left_ms << ' ' << kLineEndMarker << '\n';
     return line.str();
 }
 
@@ -50,7 +50,7 @@
     words >> record.at >> event >> record.request >> record.server >> role >> record.call >>
         record.time_left_ms >> end;
     const std::optional<ServerEvent> known = server_event_of(event);
-    if (!known || end != kEndOfLine) return std::nullopt;
+    if (!known || end != kLineEndMarker) return std::nullopt;
     record.event = *known;
     record.role = role == "prefill" ? Role::reader : Role::writer;
     return record;
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -15,54 +15,56 @@
 namespace {
 
 constexpr Span kMs{1000};
-constexpr Span kReadyWithin = kMs * 20000;
-constexpr Span kLastRequestsWithin = kMs * 4500;  // the longest deadline, and what a client waits past it
-constexpr Span kExitWithin = kMs * 5000;
-constexpr Span kLookEvery = kMs * 20;
-constexpr int kCrowdConnections = 300;
+constexpr Span kReadyTimeout = kMs * 20000;
+constexpr Span kLastRequestsTimeout =
+    kMs * 4500;  // the longest deadline, and how long a client waits past it
+constexpr Span kExitTimeout = kMs * 5000;
+constexpr Span kPollInterval = kMs * 20;
+constexpr int kIdleConnectionCount = 300;
 constexpr int kRenamedServers = 4;
 constexpr int kStalledClients = 3;
-constexpr double kCrowdShare = 0.3;     // of the runs
-constexpr double kHungRoleShare = 0.8;  // of the servers of a role that hang together
+constexpr double kIdleConnectionsShare = 0.3;  // of the runs
+constexpr double kHungRoleShare = 0.8;         // of the servers of a role that hang together
 
-// Idle connections that say nothing.
-class Crowd {
+// Idle connections that send nothing.
+class IdleConnections {
   public:
-    Crowd(Loop& loop, const Address& to) {
-        for (int n = 0; n < kCrowdConnections; ++n) {
-            members_.push_back(std::make_unique<Member>(loop));
-            members_.back()->stream = Stream::dial(loop, to, {0, 0}, *members_.back());
+    IdleConnections(Loop& loop, const Address& to) {
+        for (int n = 0; n < kIdleConnectionCount; ++n) {
+            connections_.push_back(std::make_unique<Connection>(loop));
+            connections_.back()->stream = Stream::dial(loop, to, {0, 0}, *connections_.back());
         }
     }
 
   private:
-    struct Member : Stream::Owner {
-        explicit Member(Loop& the_loop) : loop(the_loop) {}
-        ~Member() override { Stream::hand_off(loop, std::move(stream), false); }
+    struct Connection : Stream::Owner {
+        explicit Connection(Loop& the_loop) : loop(the_loop) {}
+        ~Connection() override { Stream::hand_off(loop, std::move(stream), false); }
         void bytes_came(Stream& s) override { s.drain(s.held()); }
         void stream_closed(Stream&, Closing, const std::string&) override {}
         Loop& loop;
         std::unique_ptr<Stream> stream;
     };
-    std::vector<std::unique_ptr<Member>> members_;
+    std::vector<std::unique_ptr<Connection>> connections_;
 };
 
-// Draws faults from the seed and does them, several at once.
+// Draws faults from the seed and injects them, several at once.
 class FaultSchedule {
   public:
     FaultSchedule(Loop& loop, Fleet& fleet, Records& records, std::uint32_t seed, bool large_lists)
         : loop_(loop),
           fleet_(fleet),
           records_(records),
-          faults_(large_lists ? kFaultsOfLargeLists : kUsualFaults),
-          chance_(seed),
-          next_(loop, [this] { strike(); }) {
-        has_crowd_ = std::uniform_real_distribution<double>(0, 1)(chance_) < kCrowdShare;
+          fault_count_(large_lists ? kLargeListFaultCount : kUsualFaultCount),
+          random_(seed),
+          next_fault_(loop, [this] { inject_next(); }) {
+        uses_idle_connections_ =
+            std::uniform_real_distribution<double>(0, 1)(random_) < kIdleConnectionsShare;
     }
-    void start() { next_.set(kMs * 300); }
+    void start() { next_fault_.set(kMs * 300); }
     void stop() {
-        next_.off();
-        crowd_.reset();
+        next_fault_.off();
+        idle_connections_.reset();
     }
 
   private:
@@ -84,56 +86,59 @@
         silence_watches,
         reset_watches,
         move_discovery,
-        crowd,
+        idle_connections,
         mute_server,
         mute_role,
         signal_series,
         stalled_clients,
-        // Of large lists.
+        // Only in runs with large lists.
         replace_quarter,
-        lists_come_slowly,
-        lists_in_other_form,
+        slow_lists,
+        indented_lists,
         rename_servers,
     };
-    static constexpr int kUsualFaults = static_cast<int>(Fault::stalled_clients) + 1;
-    static constexpr int kFaultsOfLargeLists = static_cast<int>(Fault::rename_servers) + 1;
+    static constexpr int kUsualFaultCount = static_cast<int>(Fault::stalled_clients) + 1;
+    static constexpr int kLargeListFaultCount = static_cast<int>(Fault::rename_servers) + 1;
 
-    std::int64_t between(std::int64_t least, std::int64_t most) {
-        return std::uniform_int_distribution<std::int64_t>(least, most)(chance_);
+    std::int64_t draw_between(std::int64_t least, std::int64_t most) {
+        return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
     }
-    Span span(std::int64_t least_ms, std::int64_t most_ms) {
-        return kMs * static_cast<double>(between(least_ms, most_ms));
+    Span random_duration(std::int64_t least_ms, std::int64_t most_ms) {
+        return kMs * static_cast<double>(draw_between(least_ms, most_ms));
     }
     std::size_t any_server() {
-        return static_cast<std::size_t>(between(0, static_cast<std::int64_t>(fleet_.server_count()) - 1));
+        return static_cast<std::size_t>(
+            draw_between(0, static_cast<std::int64_t>(fleet_.server_count()) - 1));
     }
     std::size_t any_gateway() {
-        return static_cast<std::size_t>(between(0, static_cast<std::int64_t>(fleet_.gateway_count()) - 1));
+        return static_cast<std::size_t>(
+            draw_between(0, static_cast<std::int64_t>(fleet_.gateway_count()) - 1));
     }
 
-    void strike() {
-        strike_with(static_cast<Fault>(between(0, faults_ - 1)));
-        next_.set(span(50, 600));
+    void inject_next() {
+        inject(static_cast<Fault>(draw_between(0, fault_count_ - 1)));
+        next_fault_.set(random_duration(50, 600));
     }
 
-    void strike_with(Fault fault) {
+    void inject(Fault fault) {
         switch (fault) {
             case Fault::pause_server:
-                return fleet_.pause_server(any_server(), span(100, 4000));
+                return fleet_.pause_server(any_server(), random_duration(100, 4000));
             case Fault::pause_role:
                 return pause_role();
             case Fault::crash_server:
                 return fleet_.crash_server(any_server());
             case Fault::drain_server:
-                return fleet_.drain_server(any_server(), span(500, 9000));
+                return fleet_.drain_server(any_server(), random_duration(500, 9000));
             case Fault::cut_off_server:
-                return fleet_.cut_off_server(any_server(), span(200, 4000));
+                return fleet_.cut_off_server(any_server(), random_duration(200, 4000));
             case Fault::silence_connections:
                 return fleet_.silence_connections(any_server(), 0.5);
             case Fault::reset_connections:
                 return fleet_.reset_connections(any_server(), 0.5);
             case Fault::slow_connections:
-                return fleet_.slow_connections(any_server(), span(20, 1000), span(200, 2000));
+                return fleet_.slow_connections(any_server(), random_duration(20, 1000),
+                                               random_duration(200, 2000));
             case Fault::restart_gateway:
                 return fleet_.restart_gateway(any_gateway());
             case Fault::restart_series:
@@ -145,17 +150,17 @@
             case Fault::reload_series:
                 return reload_series();
             case Fault::pause_gateway:
-                return fleet_.pause_gateway(any_gateway(), span(20, 150));
+                return fleet_.pause_gateway(any_gateway(), random_duration(20, 150));
             case Fault::silence_discovery:
-                return fleet_.silence_discovery(span(300, 3000));
+                return fleet_.silence_discovery(random_duration(300, 3000));
             case Fault::silence_watches:
                 return fleet_.silence_watches();
             case Fault::reset_watches:
                 return fleet_.reset_watches();
             case Fault::move_discovery:
                 return fleet_.move_discovery();
-            case Fault::crowd:
-                return come_in_crowds();
+            case Fault::idle_connections:
+                return open_idle_connections();
             case Fault::mute_server:
                 return fleet_.mute_server(any_server());
             case Fault::mute_role:
@@ -163,13 +168,14 @@
             case Fault::signal_series:
                 return fleet_.signal_series(any_gateway());
             case Fault::stalled_clients:
-                return come_and_stall();
+                return start_stalled_clients();
             case Fault::replace_quarter:
-                return fleet_.replace_quarter(any_server(), span(100, 400));
-            case Fault::lists_come_slowly:
-                return fleet_.write_lists_slowly(static_cast<std::size_t>(between(1, 30)), span(1, 50));
-            case Fault::lists_in_other_form:
-                return fleet_.indent_lists(between(0, 1) == 0);
+                return fleet_.replace_quarter(any_server(), random_duration(100, 400));
+            case Fault::slow_lists:
+                return fleet_.write_lists_slowly(static_cast<std::size_t>(draw_between(1, 30)),
+                                                 random_duration(1, 50));
+            case Fault::indented_lists:
+                return fleet_.indent_lists(draw_between(0, 1) == 0);
             case Fault::rename_servers:
                 return rename_servers();
         }
@@ -177,21 +183,21 @@
 
     // Most servers of a role hang at once.
     void pause_role() {
-        const bool prefill = between(0, 1) == 0;
-        const Span time = span(500, 3000);
+        const bool prefill = draw_between(0, 1) == 0;
+        const Span time = random_duration(500, 3000);
         for (std::size_t server = 0; server < fleet_.server_count(); ++server) {
             if (fleet_.is_prefill(server) != prefill) continue;
-            if (std::uniform_real_distribution<double>(0, 1)(chance_) < kHungRoleShare) {
+            if (std::uniform_real_distribution<double>(0, 1)(random_) < kHungRoleShare) {
                 fleet_.pause_server(server, time);
             }
         }
     }
 
-    // Most servers of a role take calls and say nothing.
+    // Most servers of a role accept calls and do not answer.
     void mute_role() {
-        const bool prefill = between(0, 2) == 0;
+        const bool prefill = draw_between(0, 2) == 0;
         for (std::size_t server = 0; server < fleet_.server_count(); ++server) {
-            const bool chosen = std::uniform_real_distribution<double>(0, 1)(chance_) < kHungRoleShare;
+            const bool chosen = std::uniform_real_distribution<double>(0, 1)(random_) < kHungRoleShare;
             if (fleet_.is_prefill(server) == prefill && chosen) fleet_.mute_server(server);
         }
     }
@@ -199,13 +205,13 @@
     // Several servers take each other's places in the gateways' tables.
     void rename_servers() {
         for (int n = 0; n < kRenamedServers; ++n) {
-            fleet_.rename_server(any_server(), span(500, 3000), span(200, 1500));
+            fleet_.rename_server(any_server(), random_duration(500, 3000), random_duration(200, 1500));
         }
     }
 
-    void come_and_stall() {
+    void start_stalled_clients() {
         const std::size_t gateway = any_gateway();
-        if (!fleet_.takes_connections(gateway)) return;
+        if (!fleet_.accepts_connections(gateway)) return;
         for (int n = 0; n < kStalledClients; ++n) {
             stalled_.push_back(std::make_unique<StalledClient>(loop_, fleet_, gateway, records_.stalled));
         }
@@ -213,39 +219,39 @@
 
     void reload_series() {
         const std::size_t gateway = any_gateway();
-        const std::int64_t times = between(1, 4);
+        const std::int64_t times = draw_between(1, 4);
         for (std::int64_t n = 0; n < times; ++n) fleet_.reload_gateway(gateway);
     }
 
-    void come_in_crowds() {
-        if (!has_crowd_) return;
+    void open_idle_connections() {
+        if (!uses_idle_connections_) return;
         const std::size_t gateway = any_gateway();
-        if (!fleet_.takes_connections(gateway)) return;
-        crowd_ = std::make_unique<Crowd>(loop_, fleet_.gateway_address(gateway));
+        if (!fleet_.accepts_connections(gateway)) return;
+        idle_connections_ = std::make_unique<IdleConnections>(loop_, fleet_.gateway_address(gateway));
     }
 
     Loop& loop_;
     Fleet& fleet_;
     Records& records_;
-    const int faults_;
-    std::minstd_rand chance_;
-    bool has_crowd_ = false;
-    std::unique_ptr<Crowd> crowd_;
+    const int fault_count_;
+    std::minstd_rand random_;
+    bool uses_idle_connections_ = false;
+    std::unique_ptr<IdleConnections> idle_connections_;
     std::vector<std::unique_ptr<StalledClient>> stalled_;
-    Timer next_;
+    Timer next_fault_;
 };
 
-// False: it has not come about by then.
+// False: the condition was not met within the limit.
 template <class Condition>
 bool wait_for(Loop& loop, Condition condition, Span limit) {
     const Instant until = loop.now() + limit;
     bool done = condition();
     while (!done && loop.now() < until) {
-        Timer look(loop, [&] {
+        Timer poll(loop, [&] {
             done = condition();
             loop.stop();
         });
-        look.set(kLookEvery);
+        poll.set(kPollInterval);
         loop.run();
     }
     return done;
@@ -262,7 +268,7 @@
     }
 }
 
-// For whoever looks into a finding.
+// For the analysis of findings.
 void write_client_records(const std::string& folder, const Records& records) {
     std::ofstream file(folder + "/clients.txt");
     for (const RequestRecord& request : records.requests) {
@@ -270,7 +276,7 @@
              << static_cast<int>(request.effect) << " sent " << request.sent << " deadline "
              << request.deadline << " first byte " << request.first_byte << " ended " << request.ended << ' '
              << text_of(request.fate) << (request.on_new_connection ? ", new connection" : "")
-             << (request.behind_another ? ", behind another" : "") << (request.spoilt ? ", spoilt" : "")
+             << (request.is_pipelined ? ", behind another" : "") << (request.corrupted ? ", spoilt" : "")
              << '\n';
     }
     for (const GatewayLife& life : records.gateways) {
@@ -283,14 +289,14 @@
 }  // namespace
 
 std::map<std::string, std::size_t> faults_met(const std::string& folder) {
-    std::map<std::string, std::size_t> met;
+    std::map<std::string, std::size_t> counts;
     for (const auto& entry : std::filesystem::directory_iterator(folder)) {
         if (entry.path().extension() != ".shim") continue;
         std::ifstream file(entry.path());
         std::string line;
-        while (std::getline(file, line)) ++met[line.substr(0, line.find(' '))];
+        while (std::getline(file, line)) ++counts[line.substr(0, line.find(' '))];
     }
-    return met;
+    return counts;
 }
 
 Judgement run_soak(const SoakOptions& options) {
@@ -313,7 +319,7 @@
         Fleet fleet(loop, fleet_options, records);
         fleet.start();
         if (!wait_for(
-                loop, [&] { return fleet.is_ready(); }, kReadyWithin)) {
+                loop, [&] { return fleet.is_ready(); }, kReadyTimeout)) {
             throw std::runtime_error("the fleet did not become ready; its logs are in " + options.folder);
         }
         std::vector<std::unique_ptr<LoadClient>> clients;
@@ -338,15 +344,15 @@
         const auto are_idle = [&] {
             return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->is_idle(); });
         };
-        wait_for(loop, are_idle, kLastRequestsWithin);
-        // What is held after the last answers has its time too.
+        wait_for(loop, are_idle, kLastRequestsTimeout);
+        // States that are held after the last answers have their time to be released too.
         wait_for(
             loop, [] { return false; }, kMs * 1600);
         records.ended = machine_clock_us();
         fleet.stop_all_gateways();
         wait_for(
-            loop, [&] { return fleet.gateways_have_exited(); }, kExitWithin);
-        fleet.note_written_lists();
+            loop, [&] { return fleet.gateways_have_exited(); }, kExitTimeout);
+        fleet.record_written_lists();
     }
     read_server_records(options.folder, records);
     write_client_records(options.folder, records);
--- a/src/soak/stalled_client.h
+++ b/src/soak/stalled_client.h
@@ -1,4 +1,5 @@
-// A client that sends a part of a request, stops there and stays. It is owed an error or a close.
+// A client that sends a part of a request, stops there and stays connected. The gateway has to answer with an
+// error or close the connection.
 #pragma once
 
 #include <memory>
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -1,6 +1,7 @@
-// How a stand-in engine behaves: it reads prompts first come first served and holds their states, or writes
-// answers in steps that all running streams share. Slots, queue and memory are bounded, a process that has
-// just started is slow, and one that is pushed too hard while cold falls over. Free of I/O and clocks.
+// Simulates a model server: a prefill server processes prompts in order of arrival and holds their states; a
+// decode server produces answers in steps that all running streams share. Slots, queue and memory are
+// bounded, a process that has just started is slow, and one that is overloaded while cold crashes. Free of
+// I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -19,16 +20,16 @@
     Role role = Role::reader;
     std::size_t slots = 8, queue = 40;
     double memory_tokens = 200000;
-    double kept_tokens = 150000;  // of texts read before, the oldest let go first
+    double kept_tokens = 150000;  // of cached prefixes; the oldest are evicted first
     double read_per_s = 20000;    // prompt tokens
-    double step_ms = 12;          // a step of the writer with one stream
+    double step_ms = 12;          // a decode step with one stream
     double step_ms_per_stream = 0.2;
-    double cold_from = 0.3;   // share of its speed at the start, rising evenly to all of it
+    double cold_from = 0.3;   // share of its full speed at the start, which rises linearly to 1
     Span warm_in;             // 0: warm from the start
-    double tip_multiple = 0;  // falls over past this multiple of what it can do; 0: never
+    double tip_multiple = 0;  // crashes past this multiple of what it can do; 0: never
     Span fall;
 
-    // What it can do in a second when warm: prompt tokens read, or answer tokens written.
+    // Work per second when warm: prompt tokens prefilled, or answer tokens decoded.
     double capacity() const {
         return role == Role::reader ? read_per_s
                                     : 1000.0 * static_cast<double>(slots) /
@@ -44,85 +45,85 @@
     Span limit;  // 0: none
 };
 
-class EngineModel {
+class ModelServerSimulation {
   public:
     class Host {
       public:
         virtual ~Host() = default;
         virtual Instant now() const = 0;
         virtual void wake_at(Instant at) = 0;
-        virtual void read_done(JobId job, double kept) = 0;
-        virtual void fetch(JobId job) = 0;  // fetched() or fetch_missed() follows
+        virtual void prefill_done(JobId job, double cached) = 0;
+        virtual void fetch(JobId job) = 0;  // state_fetched() or state_fetch_failed() follows
         virtual void token(JobId job, std::uint64_t number) = 0;
-        virtual void written(JobId job, double tokens, double kept) = 0;
-        virtual void turned_away(JobId job, const char* why) = 0;
-        virtual void no_state(JobId job) = 0;
-        virtual void expired(JobId job) = 0;
-        virtual void fell_over() = 0;
+        virtual void decode_done(JobId job, double tokens, double cached) = 0;
+        virtual void job_rejected(JobId job, const char* why) = 0;
+        virtual void state_missing(JobId job) = 0;
+        virtual void job_expired(JobId job) = 0;
+        virtual void crashed() = 0;
     };
 
-    EngineModel(const EngineShape& shape, Host& host, Instant born);
+    ModelServerSimulation(const EngineShape& shape, Host& host, Instant started_at);
 
-    void read_came(JobId id, const Job& job);
-    // From a state that is to be fetched, or, where there is none, from the prompt.
-    void write_came(JobId id, const Job& job);
-    void fetched(JobId id);
-    void fetch_missed(JobId id);
+    void prefill_arrived(JobId id, const Job& job);
+    // Decodes from a state that is to be fetched, or from the prompt where there is no state.
+    void decode_arrived(JobId id, const Job& job);
+    void state_fetched(JobId id);
+    void state_fetch_failed(JobId id);
     void cancelled(JobId id);
-    // A held state, taken or let go. False: there is none.
-    bool holds(const std::string& state) const { return states_.count(state) != 0; }
-    bool let_go(const std::string& state);
-    void time_came();
+    // A held state. False: there is none.
+    bool holds_state(const std::string& state) const { return states_.count(state) != 0; }
+    bool free_state(const std::string& state);
+    void run_due_work();
 
-    // Troubles.
-    void slow(double factor) { slow_ = factor; }
-    void forget();
+    // Faults.
+    void set_slowdown(double factor) { slowdown_ = factor; }
+    void clear_prefix_cache();
 
     LoadReport report() const;
     double state_tokens(const std::string& state) const;
-    double speed() const;  // share of its full speed at present
-    std::size_t in_hand() const { return jobs_.size(); }
+    double speed() const;  // present share of its full speed
+    std::size_t job_count() const { return jobs_.size(); }
 
   private:
-    enum class Stage { waiting, reading, fetching, streaming };
-    struct Running {
+    enum class Stage { waiting, prefilling, fetching, decoding };
+    struct ActiveJob {
         Job job;
         Stage stage = Stage::waiting;
-        double kept = 0;
-        std::uint64_t written = 0;
-        Instant came, ready_at;
+        double cached = 0;
+        std::uint64_t decoded_tokens = 0;
+        Instant arrived_at, ready_at;
     };
-    bool take(JobId id, const Job& job, double work);
-    bool pushed_over(double work);
-    double kept_of(const Job& job) const;
-    void keep(const Job& job);
-    void keep_text(const std::string& name, double tokens);
-    void start_reads();
-    void start_writes();
+    bool admit(JobId id, const Job& job, double work);
+    bool crashes_under(double work);
+    double cached_prefix_tokens(const Job& job) const;
+    void cache_prefixes(const Job& job);
+    void cache_prefix(const std::string& name, double tokens);
+    void start_prefills();
+    void start_decodes();
     void step();
     double step_ms() const;
-    void wish();
+    void schedule_wakeup();
     void drop(JobId id);
 
     const EngineShape shape_;
     Host& host_;
-    const Instant born_;
-    double slow_ = 1;
-    std::map<JobId, Running> jobs_;
+    const Instant started_at_;
+    double slowdown_ = 1;
+    std::map<JobId, ActiveJob> jobs_;
     std::deque<JobId> queue_;
-    JobId at_pipe_ = 0;  // being read; 0: none
-    Instant pipe_free_at_;
+    JobId prefilling_job_ = 0;  // job whose prompt is being prefilled; 0: none
+    Instant prefill_done_at_;
     std::vector<JobId> streams_;
-    std::size_t fetching_ = 0;
+    std::size_t fetching_count_ = 0;
     Instant next_step_;
-    bool stepping_ = false, dead_ = false;
+    bool stepping_ = false, has_crashed_ = false;
     double memory_held_ = 0;
     std::unordered_map<std::string, double> states_;
-    std::list<std::pair<std::string, double>> texts_;  // most lately used first
-    std::unordered_map<std::string, std::list<std::pair<std::string, double>>::iterator> text_at_;
-    double texts_tokens_ = 0;
-    std::deque<std::pair<Instant, double>> pushes_;
-    double pushed_ = 0;
+    std::list<std::pair<std::string, double>> cached_prefixes_;  // most recently used first
+    std::unordered_map<std::string, std::list<std::pair<std::string, double>>::iterator> prefix_positions_;
+    double cached_prefix_tokens_ = 0;
+    std::deque<std::pair<Instant, double>> recent_work_;
+    double recent_work_total_ = 0;
 };
 
 }  // namespace copperfront::standin
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -11,12 +11,12 @@
 using rpc::Json;
 
 constexpr LinkBounds kBounds{16 << 20, 64 << 20};
-constexpr Span kLook{500000};
-constexpr Span kAbandoned{5000000};      // a state is freed this long after its gateway was last connected
-constexpr Span kFetchPatience{1000000};  // for a reader to answer a writer
-constexpr Span kAgeingStep{250000};
+constexpr Span kAbandonedCheckInterval{500000};
+constexpr Span kAbandonedAfter{5000000};  // a state is freed this long after its gateway was last connected
+constexpr Span kFetchTimeout{1000000};    // for a prefill server to answer a decode server
+constexpr Span kAgeingInterval{250000};
 
-// Far enough back to be warm, and the same for every engine: 0 means long ago on the roster.
+// Long enough ago to be warm, and the same for every server: on the roster 0 means long ago.
 constexpr Instant kLongAgo{1};
 
 }  // namespace
@@ -24,170 +24,173 @@
 class EngineServer::Peer : public Link::Owner {
   public:
     Peer(EngineServer& server, std::uint64_t id, int fd)
-        : server_(server), id_(id), greeting_(server.loop_, [this] { greet(); }) {
+        : server_(server), id_(id), hello_timer_(server.loop_, [this] { send_hello_answer(); }) {
         link_ = Link::accepted(server.loop_, fd, kBounds, *this);
     }
 
-    // Across a cut, and at a hung process, bytes neither come nor go; the connection itself stays.
-    bool frozen() const {
-        if (server_.hung_ && !control_) return true;
-        if (server_.cut_.empty() || control_ || !greeted_) return false;
-        return (server_.cut_ == hello_.zone) != (server_.cut_ == server_.identity_.zone);
+    // During a network partition, and while the process hangs, bytes are neither received nor sent; the
+    // connection itself stays open.
+    bool is_frozen() const {
+        if (server_.hung_ && !is_control_) return true;
+        if (server_.partitioned_zone_.empty() || is_control_ || !greeted_) return false;
+        return (server_.partitioned_zone_ == hello_.zone) !=
+               (server_.partitioned_zone_ == server_.identity_.zone);
     }
-    void thaw() {
-        while (!frozen() && !held_out_.empty()) {
-            link_->send(held_out_.front());
-            held_out_.pop_front();
+    void deliver_delayed() {
+        while (!is_frozen() && !delayed_out_.empty()) {
+            link_->send(delayed_out_.front());
+            delayed_out_.pop_front();
         }
-        while (!frozen() && !held_in_.empty() && link_) {
-            const auto [came, line] = std::move(held_in_.front());
-            held_in_.pop_front();
-            came_ = came;
-            take(line);
+        while (!is_frozen() && !delayed_in_.empty() && link_) {
+            const auto [received_at_us, line] = std::move(delayed_in_.front());
+            delayed_in_.pop_front();
+            received_at_us_ = received_at_us;
+            handle_line(line);
         }
-        if (ended_ && !frozen()) server_.closed(*this);
+        if (ended_ && !is_frozen()) server_.remove_peer(*this);
     }
-    void say(const std::string& line) {
+    void send(const std::string& line) {
         if (!link_) return;
-        if (frozen())
-            held_out_.push_back(line);
+        if (is_frozen())
+            delayed_out_.push_back(line);
         else
             link_->send(line);
     }
     void line_came(Link&, std::string_view line) override {
-        if (frozen() || !held_in_.empty())
-            held_in_.emplace_back(machine_clock_us(), line);
+        if (is_frozen() || !delayed_in_.empty())
+            delayed_in_.emplace_back(machine_clock_us(), line);
         else {
-            came_ = machine_clock_us();
-            take(line);
+            received_at_us_ = machine_clock_us();
+            handle_line(line);
         }
     }
-    // What reached this socket before it closed is read all the same once the process goes on.
+    // Lines that reached this socket before it closed are still processed once the process continues.
     void link_closed(Link&, Closing, const std::string&) override {
         ended_ = true;
-        if (!frozen() || held_in_.empty()) server_.closed(*this);
+        if (!is_frozen() || delayed_in_.empty()) server_.remove_peer(*this);
     }
 
     std::uint64_t id() const { return id_; }
     const rpc::Hello& hello() const { return hello_; }
-    // When the line in hand reached this socket, which a cut or a hang may have kept from being read.
-    std::int64_t came() const { return came_; }
+    // When the line being processed reached this socket, which a partition or a hang may have kept from being
+    // read.
+    std::int64_t received_at_us() const { return received_at_us_; }
     std::string owner() const { return hello_.name + "." + hello_.life; }
-    void mark_control() { control_ = true; }
+    void mark_control() { is_control_ = true; }
     std::unique_ptr<Link> take_link() {
-        greeting_.off();
+        hello_timer_.off();
         return std::move(link_);
     }
     void reset() { Link::reset(server_.loop_, std::move(link_)); }
 
   private:
-    void take(std::string_view line) {
+    void handle_line(std::string_view line) {
         auto parsed = rpc::parse(line);
         if (const auto* wrong = std::get_if<rpc::BadMessage>(&parsed)) {
-            say(rpc::error(wrong->id, wrong->code, wrong->text));
+            send(rpc::error(wrong->id, wrong->code, wrong->text));
             return;
         }
         const auto& m = std::get<rpc::Message>(parsed);
         if (m.sort == rpc::Sort::call && m.method == rpc::kInitialize) {
             auto hello = rpc::read_hello(m.body);
             if (const auto* wrong = std::get_if<std::string>(&hello)) {
-                say(rpc::error(m.id, rpc::kInvalidParams, *wrong));
+                send(rpc::error(m.id, rpc::kInvalidParams, *wrong));
                 return;
             }
             hello_ = std::get<rpc::Hello>(hello);
             greeted_ = true;
             hello_id_ = m.id;
             server_.record_.note("hello", {{"gw", hello_.name}, {"life", hello_.life}});
-            if (server_.greeting_delay_.us > 0)
-                greeting_.set(server_.greeting_delay_);
+            if (server_.hello_delay_.us > 0)
+                hello_timer_.set(server_.hello_delay_);
             else
-                greet();
+                send_hello_answer();
         } else if (m.sort == rpc::Sort::call) {
-            server_.called(*this, m);
+            server_.handle_call(*this, m);
         } else if (m.sort == rpc::Sort::notice) {
-            server_.noticed(*this, m);
+            server_.handle_notice(*this, m);
         }
     }
-    void greet() { say(rpc::hello_answer_line(hello_id_, server_.identity_.name, "0.2.0")); }
+    void send_hello_answer() { send(rpc::hello_answer_line(hello_id_, server_.identity_.name, "0.2.0")); }
 
     EngineServer& server_;
     const std::uint64_t id_;
     std::unique_ptr<Link> link_;
-    Timer greeting_;
+    Timer hello_timer_;
     rpc::Hello hello_;
     rpc::Id hello_id_;
-    bool greeted_ = false, control_ = false, ended_ = false;
-    std::deque<std::pair<std::int64_t, std::string>> held_in_;
-    std::deque<std::string> held_out_;
-    std::int64_t came_ = 0;
+    bool greeted_ = false, is_control_ = false, ended_ = false;
+    std::deque<std::pair<std::int64_t, std::string>> delayed_in_;
+    std::deque<std::string> delayed_out_;
+    std::int64_t received_at_us_ = 0;
 };
 
-// A writer's connection to one reader, from which it fetches states.
+// A decode server's connection to one prefill server, from which it fetches states.
 class EngineServer::Fetcher : public Link::Owner {
   public:
     Fetcher(EngineServer& server, const std::string& address)
-        : server_(server), address_(address), patience_(server.loop_, [this] { look(); }) {}
+        : server_(server), address_(address), timeout_timer_(server.loop_, [this] { check_timeouts(); }) {}
 
     void fetch(JobId job, const std::string& state) {
-        wanted_[job] = {state, server_.loop_.now()};
+        pending_[job] = {state, server_.loop_.now()};
         if (!link_)
             link_ = Link::dial(server_.loop_, Address::parse(address_), kBounds, *this);
-        else if (open_)
-            ask(job, state);
-        if (!patience_.is_set()) patience_.set(kFetchPatience);
+        else if (is_connected_)
+            request_state(job, state);
+        if (!timeout_timer_.is_set()) timeout_timer_.set(kFetchTimeout);
     }
     void link_made(Link& link) override {
         link.send(rpc::hello_line(rpc::Id{std::string("hello")},
                                   {server_.identity_.name, server_.identity_.zone, ""}));
-        open_ = true;
-        for (const auto& [job, wish] : wanted_) ask(job, wish.first);
+        is_connected_ = true;
+        for (const auto& [job, pending] : pending_) request_state(job, pending.first);
     }
     void line_came(Link&, std::string_view line) override {
         auto parsed = rpc::parse(line);
         const auto* m = std::get_if<rpc::Message>(&parsed);
         if (!m || !std::holds_alternative<std::int64_t>(m->id)) return;
         const auto job = static_cast<JobId>(std::get<std::int64_t>(m->id));
-        if (wanted_.erase(job) == 0) return;
+        if (pending_.erase(job) == 0) return;
         if (m->sort != rpc::Sort::result) {
-            server_.model_.fetch_missed(job);
+            server_.simulation_.state_fetch_failed(job);
             return;
         }
-        // The state takes its time to move.
+        // The transfer of the state takes time.
         const double tokens = rpc::number_at(m->body, "tokens");
         auto timer = std::make_unique<Timer>(server_.loop_, [this, job] {
-            server_.loop_.post([this, job] { moving_.erase(job); });
-            server_.model_.fetched(job);
+            server_.loop_.post([this, job] { transfers_.erase(job); });
+            server_.simulation_.state_fetched(job);
         });
         timer->set({static_cast<std::int64_t>(tokens / server_.identity_.fetch_per_s * 1e6)});
-        moving_[job] = std::move(timer);
+        transfers_[job] = std::move(timer);
     }
     void link_closed(Link&, Closing, const std::string&) override { fail_all(); }
 
   private:
-    void ask(JobId job, const std::string& state) {
+    void request_state(JobId job, const std::string& state) {
         link_->send(rpc::call(rpc::Id{static_cast<std::int64_t>(job)}, rpc::kFetch, {{"state", state}}));
     }
-    void look() {
+    void check_timeouts() {
         const Instant now = server_.loop_.now();
-        for (const auto& [job, wish] : wanted_)
-            if (now - wish.second >= kFetchPatience) return fail_all();
-        if (!wanted_.empty()) patience_.set(kFetchPatience);
+        for (const auto& [job, pending] : pending_)
+            if (now - pending.second >= kFetchTimeout) return fail_all();
+        if (!pending_.empty()) timeout_timer_.set(kFetchTimeout);
     }
     void fail_all() {
         Link::hand_off(server_.loop_, std::move(link_), false);
-        open_ = false;
-        const auto wanted = std::move(wanted_);
-        wanted_.clear();
-        for (const auto& [job, wish] : wanted) server_.model_.fetch_missed(job);
+        is_connected_ = false;
+        const auto failed = std::move(pending_);
+        pending_.clear();
+        for (const auto& [job, pending] : failed) server_.simulation_.state_fetch_failed(job);
     }
 
     EngineServer& server_;
     const std::string address_;
     std::unique_ptr<Link> link_;
-    Timer patience_;
-    bool open_ = false;
-    std::map<JobId, std::pair<std::string, Instant>> wanted_;
-    std::map<JobId, std::unique_ptr<Timer>> moving_;
+    Timer timeout_timer_;
+    bool is_connected_ = false;
+    std::map<JobId, std::pair<std::string, Instant>> pending_;
+    std::map<JobId, std::unique_ptr<Timer>> transfers_;
 };
 
 EngineServer::EngineServer(Loop& loop, const EngineShape& shape, const EngineIdentity& identity)
@@ -196,22 +199,23 @@
       identity_(identity),
       record_(identity.record),
       born_ms_(identity.cold ? loop.now().us / 1000 : 0),
-      model_(shape, *this, identity.cold ? loop.now() : kLongAgo),
+      simulation_(shape, *this, identity.cold ? loop.now() : kLongAgo),
       listener_(loop, Address::parse(identity.listen),
                 [this](int fd) {
                     const std::uint64_t id = next_peer_++;
                     peers_.emplace(id, std::make_unique<Peer>(*this, id, fd));
                 }),
-      wake_(loop, [this] { model_.time_came(); }),
-      second_(loop, [this] { look_after_states(); }),
-      ageing_(loop,
-              [this] {
-                  const double part = std::min(1.0, (loop_.now() - ageing_since_) / ageing_for_);
-                  model_.slow(1 + (ageing_to_ - 1) * part);
-                  if (part < 1) ageing_.set(kAgeingStep);
-              }),
-      chance_(identity.seed) {
-    second_.set(kLook);
+      wake_timer_(loop, [this] { simulation_.run_due_work(); }),
+      abandoned_timer_(loop, [this] { free_abandoned_states(); }),
+      ageing_timer_(loop,
+                    [this] {
+                        const double progress =
+                            std::min(1.0, (loop_.now() - ageing_since_) / ageing_duration_);
+                        simulation_.set_slowdown(1 + (ageing_factor_ - 1) * progress);
+                        if (progress < 1) ageing_timer_.set(kAgeingInterval);
+                    }),
+      random_(identity.seed) {
+    abandoned_timer_.set(kAbandonedCheckInterval);
     record_.note("start", {{"name", identity.name},
                            {"zone", identity.zone},
                            {"cell", identity.cell},
@@ -232,281 +236,287 @@
     loop_.stop();
 }
 
-Json EngineServer::about(JobId job) const {
-    const Work& w = work_.at(job);
-    const auto peer = peers_.find(w.peer);
-    Json out = {{"q", w.order.query}, {"l", rpc::text_of(w.id)}, {"m", w.reading ? "read" : "write"}};
+Json EngineServer::job_fields(JobId job) const {
+    const ActiveCall& active_call = active_calls_.at(job);
+    const auto peer = peers_.find(active_call.peer);
+    Json out = {{"q", active_call.order.query},
+                {"l", rpc::text_of(active_call.id)},
+                {"m", active_call.is_prefill ? "read" : "write"}};
     if (peer != peers_.end()) out["gw"] = peer->second->owner();
     return out;
 }
 
-// ---- what peers say
+// ---- messages from peers
 
-void EngineServer::called(Peer& peer, const rpc::Message& m) {
+void EngineServer::handle_call(Peer& peer, const rpc::Message& m) {
     if (m.method == rpc::kRead || m.method == rpc::kWrite) {
-        ordered(peer, m, m.method == rpc::kRead);
+        start_job(peer, m, m.method == rpc::kRead);
     } else if (m.method == rpc::kPing) {
-        peer.say(rpc::result(m.id, Json::object()));
+        peer.send(rpc::result(m.id, Json::object()));
     } else if (m.method == rpc::kProbe) {
         Json body = Json::object();
-        if (identity_.reports != Reports::none) body["load"] = rpc::report_json(model_.report());
-        peer.say(rpc::result(m.id, body));
+        if (identity_.reports != Reports::none) body["load"] = rpc::report_json(simulation_.report());
+        peer.send(rpc::result(m.id, body));
     } else if (m.method == rpc::kFetch) {
         const std::string state = rpc::text_at(m.body, "state");
-        if (!model_.holds(state)) {
-            peer.say(rpc::full_line(m.id, true, "no such state", {}));
+        if (!simulation_.holds_state(state)) {
+            peer.send(rpc::full_line(m.id, true, "no such state", {}));
             return;
         }
-        const double tokens = model_.state_tokens(state);
-        record_.note("free", {{"state", state}, {"q", held_[state].query}, {"why", "fetched"}});
-        held_.erase(state);
-        model_.let_go(state);
-        peer.say(rpc::result(m.id, {{"tokens", tokens}}));
+        const double tokens = simulation_.state_tokens(state);
+        record_.note("free", {{"state", state}, {"q", held_states_[state].request}, {"why", "fetched"}});
+        held_states_.erase(state);
+        simulation_.free_state(state);
+        peer.send(rpc::result(m.id, {{"tokens", tokens}}));
     } else if (m.method == "standin/fault") {
         peer.mark_control();
-        std::string trouble;
-        if (fault(m.body, trouble))
-            peer.say(rpc::result(m.id, Json::object()));
+        std::string error_text;
+        if (apply_fault(m.body, error_text))
+            peer.send(rpc::result(m.id, Json::object()));
         else
-            peer.say(rpc::error(m.id, rpc::kInvalidParams, trouble));
+            peer.send(rpc::error(m.id, rpc::kInvalidParams, error_text));
     } else {
-        peer.say(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method.substr(0, 80)));
+        peer.send(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method.substr(0, 80)));
     }
 }
 
-void EngineServer::noticed(Peer& peer, const rpc::Message& m) {
+void EngineServer::handle_notice(Peer& peer, const rpc::Message& m) {
     if (m.method == rpc::kRelease) {
         const std::string state = rpc::text_at(m.body, "state");
         record_.note("release", {{"state", state}, {"gw", peer.owner()}});
-        if (!model_.holds(state)) return;
-        record_.note("free", {{"state", state}, {"q", held_[state].query}, {"why", "released"}});
-        held_.erase(state);
-        model_.let_go(state);
+        if (!simulation_.holds_state(state)) return;
+        record_.note("free", {{"state", state}, {"q", held_states_[state].request}, {"why", "released"}});
+        held_states_.erase(state);
+        simulation_.free_state(state);
     } else if (m.method == rpc::kCancelled) {
         const auto id = m.body.find("requestId");
         if (id == m.body.end() || !id->is_number_integer()) return;
         const rpc::Id wanted{id->get<std::int64_t>()};
-        for (auto it = work_.begin(); it != work_.end(); ++it) {
+        for (auto it = active_calls_.begin(); it != active_calls_.end(); ++it) {
             if (it->second.peer != peer.id() || it->second.id != wanted) continue;
-            record_.note("cancel", about(it->first));
+            record_.note("cancel", job_fields(it->first));
             const JobId job = it->first;
-            work_.erase(it);
-            model_.cancelled(job);
+            active_calls_.erase(it);
+            simulation_.cancelled(job);
             return;
         }
     }
 }
 
-void EngineServer::ordered(Peer& peer, const rpc::Message& m, bool reading) {
+void EngineServer::start_job(Peer& peer, const rpc::Message& m, bool is_prefill) {
     auto read = rpc::read_order(m.body);
     if (const auto* wrong = std::get_if<std::string>(&read)) {
-        peer.say(rpc::error(m.id, rpc::kInvalidParams, *wrong));
+        peer.send(rpc::error(m.id, rpc::kInvalidParams, *wrong));
         return;
     }
     const JobId job = next_job_++;
-    Work& w = work_[job];
-    w = {peer.id(), m.id, std::get<rpc::Order>(std::move(read)), reading};
-    Job j;
-    j.session = w.order.session;
-    j.beginning = w.order.beginning;
-    j.state = w.order.state;
-    j.prompt_tokens = w.order.prompt_tokens;
-    j.beginning_tokens = w.order.beginning_tokens;
-    j.limit = w.order.limit;
-    // How long the answer is only the engine knows; the same query gets the same answer everywhere.
-    const double part = static_cast<double>(copperfront::mark(w.order.query) % 1000) / 1000;
-    j.answer_tokens = std::max(1.0, std::floor(w.order.most_tokens * (0.15 + 0.7 * part)));
-    Json noted = about(job);
-    noted["cat"] = w.order.category;
-    noted["mark"] = w.order.mark;
-    noted["state"] = w.order.state;
-    noted["came"] = peer.came();
-    noted["work"] = reading ? j.prompt_tokens : j.answer_tokens;
-    record_.note("in", std::move(noted));
-    if (errors_ > 0 && chance() < errors_) {
-        answer(job, rpc::error(w.id, rpc::kEngineError, "the engine went wrong"), "error");
+    ActiveCall& active_call = active_calls_[job];
+    active_call = {peer.id(), m.id, std::get<rpc::Order>(std::move(read)), is_prefill};
+    Job new_job;
+    new_job.session = active_call.order.session;
+    new_job.beginning = active_call.order.beginning;
+    new_job.state = active_call.order.state;
+    new_job.prompt_tokens = active_call.order.prompt_tokens;
+    new_job.beginning_tokens = active_call.order.beginning_tokens;
+    new_job.limit = active_call.order.limit;
+    // Only the server knows the length of the answer; the same request gets the same answer everywhere.
+    const double share = static_cast<double>(copperfront::mark(active_call.order.query) % 1000) / 1000;
+    new_job.answer_tokens = std::max(1.0, std::floor(active_call.order.most_tokens * (0.15 + 0.7 * share)));
+    Json fields = job_fields(job);
+    fields["cat"] = active_call.order.category;
+    fields["mark"] = active_call.order.mark;
+    fields["state"] = active_call.order.state;
+    fields["came"] = peer.received_at_us();
+    fields["work"] = is_prefill ? new_job.prompt_tokens : new_job.answer_tokens;
+    record_.note("in", std::move(fields));
+    if (error_share_ > 0 && draw() < error_share_) {
+        send_answer(job, rpc::error(active_call.id, rpc::kEngineError, "the engine went wrong"), "error");
         return;
     }
-    if (reading)
-        model_.read_came(job, j);
+    if (is_prefill)
+        simulation_.prefill_arrived(job, new_job);
     else
-        model_.write_came(job, j);
+        simulation_.decode_arrived(job, new_job);
 }
 
-void EngineServer::closed(Peer& peer) {
+void EngineServer::remove_peer(Peer& peer) {
     const std::uint64_t id = peer.id();
     record_.note("closed", {{"gw", peer.owner()}});
     std::vector<JobId> jobs;
-    for (const auto& [job, w] : work_)
-        if (w.peer == id) jobs.push_back(job);
-    // Ids are drawn from one count, so the order does not hang on the hash.
+    for (const auto& [job, active_call] : active_calls_)
+        if (active_call.peer == id) jobs.push_back(job);
+    // Ids are drawn from one counter, so the order does not depend on the hash.
     std::sort(jobs.begin(), jobs.end());
     const auto it = peers_.find(id);
     if (it == peers_.end()) return;
     Link::hand_off(loop_, peer.take_link(), false);
     for (const JobId job : jobs) {
-        work_.erase(job);
-        model_.cancelled(job);
+        active_calls_.erase(job);
+        simulation_.cancelled(job);
     }
     loop_.bury(std::move(it->second));
     peers_.erase(it);
 }
 
-// What a gateway that was killed has left behind is freed once it has not been connected for some seconds.
-void EngineServer::look_after_states() {
-    second_.set(kLook);
-    std::set<std::string> there;
-    for (const auto& [id, peer] : peers_) there.insert(peer->owner());
+// States that a killed gateway has left behind are freed once it has not been connected for some seconds.
+void EngineServer::free_abandoned_states() {
+    abandoned_timer_.set(kAbandonedCheckInterval);
+    std::set<std::string> connected_owners;
+    for (const auto& [id, peer] : peers_) connected_owners.insert(peer->owner());
     const Instant now = loop_.now();
-    for (auto it = held_.begin(); it != held_.end();) {
-        if (there.count(it->second.owner)) it->second.seen = now;
-        if (now - it->second.seen < kAbandoned) {
+    for (auto it = held_states_.begin(); it != held_states_.end();) {
+        if (connected_owners.count(it->second.owner)) it->second.last_seen = now;
+        if (now - it->second.last_seen < kAbandonedAfter) {
             ++it;
             continue;
         }
-        record_.note("free", {{"state", it->first}, {"q", it->second.query}, {"why", "abandoned"}});
-        model_.let_go(it->first);
-        it = held_.erase(it);
+        record_.note("free", {{"state", it->first}, {"q", it->second.request}, {"why", "abandoned"}});
+        simulation_.free_state(it->first);
+        it = held_states_.erase(it);
     }
 }
 
-// ---- what the model says
-
-void EngineServer::answer(JobId job, const std::string& line, const char* how, Json more) {
-    const Work w = work_.at(job);
-    Json noted = about(job);
-    for (const auto& [key, value] : more.items()) noted[key] = value;
-    work_.erase(job);
-    const auto peer = peers_.find(w.peer);
-    if (lost_ > 0 && chance() < lost_) {
-        noted["end"] = how;
-        noted["reset"] = lost_resets_;
-        record_.note("lost", std::move(noted));
-        if (lost_resets_ && peer != peers_.end()) {
+// ---- events of the simulation
+
+void EngineServer::send_answer(JobId job, const std::string& line, const char* how, Json more) {
+    const ActiveCall active_call = active_calls_.at(job);
+    Json fields = job_fields(job);
+    for (const auto& [key, value] : more.items()) fields[key] = value;
+    active_calls_.erase(job);
+    const auto peer = peers_.find(active_call.peer);
+    if (lost_answer_share_ > 0 && draw() < lost_answer_share_) {
+        fields["end"] = how;
+        fields["reset"] = lost_answers_reset_;
+        record_.note("lost", std::move(fields));
+        if (lost_answers_reset_ && peer != peers_.end()) {
             Peer& lost = *peer->second;
             lost.reset();
-            closed(lost);
+            remove_peer(lost);
         }
         return;
     }
-    noted["end"] = how;
-    record_.note("out", std::move(noted));
-    if (peer != peers_.end()) peer->second->say(line);
+    fields["end"] = how;
+    record_.note("out", std::move(fields));
+    if (peer != peers_.end()) peer->second->send(line);
 }
 
-void EngineServer::read_done(JobId job, double kept) {
-    const auto it = work_.find(job);
-    if (it == work_.end()) return;
-    const Work w = it->second;
-    const auto peer = peers_.find(w.peer);
-    held_[w.order.state] = {peer == peers_.end() ? "" : peer->second->owner(), w.order.query, loop_.now()};
-    record_.note("hold", {{"state", w.order.state}, {"q", w.order.query}});
-    answer(job, rpc::read_result_line(w.id, kept, told()), "read",
-           {{"kept", kept}, {"tokens", w.order.prompt_tokens}});
+void EngineServer::prefill_done(JobId job, double cached) {
+    const auto it = active_calls_.find(job);
+    if (it == active_calls_.end()) return;
+    const ActiveCall active_call = it->second;
+    const auto peer = peers_.find(active_call.peer);
+    held_states_[active_call.order.state] = {peer == peers_.end() ? "" : peer->second->owner(),
+                                             active_call.order.query, loop_.now()};
+    record_.note("hold", {{"state", active_call.order.state}, {"q", active_call.order.query}});
+    send_answer(job, rpc::read_result_line(active_call.id, cached, load_report_for_answer()), "read",
+                {{"kept", cached}, {"tokens", active_call.order.prompt_tokens}});
 }
 
 void EngineServer::fetch(JobId job) {
-    const Work& w = work_.at(job);
-    auto& fetcher = fetchers_[w.order.from];
+    const ActiveCall& active_call = active_calls_.at(job);
+    auto& fetcher = fetchers_[active_call.order.from];
     try {
-        if (!fetcher) fetcher = std::make_unique<Fetcher>(*this, w.order.from);
-        fetcher->fetch(job, w.order.state);
+        if (!fetcher) fetcher = std::make_unique<Fetcher>(*this, active_call.order.from);
+        fetcher->fetch(job, active_call.order.state);
     } catch (const NetTrouble&) {
-        loop_.post([this, job] { model_.fetch_missed(job); });
+        loop_.post([this, job] { simulation_.state_fetch_failed(job); });
     }
 }
 
 void EngineServer::token(JobId job, std::uint64_t number) {
-    const auto it = work_.find(job);
-    if (it == work_.end()) return;
-    const Work& w = it->second;
+    const auto it = active_calls_.find(job);
+    if (it == active_calls_.end()) return;
+    const ActiveCall& active_call = it->second;
     if (number == 0) {
-        // From here on the query has had its effect.
-        Json noted = about(job);
-        noted["mark"] = w.order.mark;
-        noted["cat"] = w.order.category;
-        record_.note("ran", std::move(noted));
+        // From here on the request has had its effect.
+        Json fields = job_fields(job);
+        fields["mark"] = active_call.order.mark;
+        fields["cat"] = active_call.order.category;
+        record_.note("ran", std::move(fields));
     }
-    if (!w.order.stream) return;
-    if (const auto peer = peers_.find(w.peer); peer != peers_.end())
-        peer->second->say(rpc::tokens_line(w.id, "t" + std::to_string(number) + " "));
+    if (!active_call.order.stream) return;
+    if (const auto peer = peers_.find(active_call.peer); peer != peers_.end())
+        peer->second->send(rpc::tokens_line(active_call.id, "t" + std::to_string(number) + " "));
 }
 
-void EngineServer::written(JobId job, double tokens, double kept) {
-    const auto it = work_.find(job);
-    if (it == work_.end()) return;
+void EngineServer::decode_done(JobId job, double tokens, double cached) {
+    const auto it = active_calls_.find(job);
+    if (it == active_calls_.end()) return;
     std::string line;
     if (it->second.order.stream) {
-        line = rpc::write_result_line(it->second.id, tokens, kept, told());
+        line = rpc::write_result_line(it->second.id, tokens, cached, load_report_for_answer());
     } else {
         std::string text;
         for (double n = 0; n < tokens; ++n) text += "t" + std::to_string(static_cast<std::uint64_t>(n)) + " ";
-        line = rpc::result(it->second.id, {{"tokens", tokens}, {"kept", kept}, {"text", text}});
+        line = rpc::result(it->second.id, {{"tokens", tokens}, {"kept", cached}, {"text", text}});
     }
-    answer(job, line, "settled", {{"tokens", tokens}});
+    send_answer(job, line, "settled", {{"tokens", tokens}});
 }
 
-void EngineServer::turned_away(JobId job, const char* why) {
-    answer(job, rpc::full_line(work_.at(job).id, false, why, told()), "full");
+void EngineServer::job_rejected(JobId job, const char* why) {
+    send_answer(job, rpc::full_line(active_calls_.at(job).id, false, why, load_report_for_answer()), "full");
 }
 
-void EngineServer::no_state(JobId job) {
-    if (work_.count(job)) answer(job, rpc::full_line(work_.at(job).id, true, "no state", told()), "nostate");
+void EngineServer::state_missing(JobId job) {
+    if (active_calls_.count(job))
+        send_answer(job, rpc::full_line(active_calls_.at(job).id, true, "no state", load_report_for_answer()),
+                    "nostate");
 }
 
-void EngineServer::expired(JobId job) {
-    if (work_.count(job))
-        answer(job, rpc::error(work_.at(job).id, rpc::kExpired, "its time limit has passed"), "expired");
+void EngineServer::job_expired(JobId job) {
+    if (active_calls_.count(job))
+        send_answer(job, rpc::error(active_calls_.at(job).id, rpc::kExpired, "its time limit has passed"),
+                    "expired");
 }
 
-void EngineServer::fell_over() {
+void EngineServer::crashed() {
     record_.note("fell");
     record_.end();
-    // As a process that dies: every connection breaks at once.
+    // As when a process dies: every connection breaks at once.
     std::_Exit(3);
 }
 
 // ---- faults
 
-void EngineServer::set_cut(const std::string& zone) {
-    cut_ = zone;
+void EngineServer::set_partitioned_zone(const std::string& zone) {
+    partitioned_zone_ = zone;
     std::vector<std::uint64_t> all;
     for (const auto& [id, peer] : peers_) all.push_back(id);
     std::sort(all.begin(), all.end());
     for (const std::uint64_t id : all)
-        if (const auto it = peers_.find(id); it != peers_.end()) it->second->thaw();
+        if (const auto it = peers_.find(id); it != peers_.end()) it->second->deliver_delayed();
 }
 
-bool EngineServer::fault(const Json& params, std::string& trouble) {
+bool EngineServer::apply_fault(const Json& params, std::string& error_text) {
     const std::string kind = rpc::text_at(params, "kind");
     const double size = rpc::number_at(params, "size");
     record_.note("fault", {{"fault", params}});
     if (kind == "slow") {
-        slow_ = std::max(1.0, size);
-        model_.slow(slow_);
+        slowdown_ = std::max(1.0, size);
+        simulation_.set_slowdown(slowdown_);
     } else if (kind == "ageing") {
-        ageing_to_ = std::max(1.0, size);
-        ageing_for_ = {
+        ageing_factor_ = std::max(1.0, size);
+        ageing_duration_ = {
             std::max<std::int64_t>(1000, static_cast<std::int64_t>(rpc::number_at(params, "forMs") * 1000))};
         ageing_since_ = loop_.now();
-        ageing_.set(kAgeingStep);
+        ageing_timer_.set(kAgeingInterval);
     } else if (kind == "errors") {
-        errors_ = size;
+        error_share_ = size;
     } else if (kind == "lost") {
-        lost_ = size;
-        lost_resets_ = rpc::text_at(params, "how") == "reset";
+        lost_answer_share_ = size;
+        lost_answers_reset_ = rpc::text_at(params, "how") == "reset";
     } else if (kind == "greeting") {
-        greeting_delay_ = {static_cast<std::int64_t>(size * 1000)};
+        hello_delay_ = {static_cast<std::int64_t>(size * 1000)};
     } else if (kind == "forget") {
-        model_.forget();
+        simulation_.clear_prefix_cache();
     } else if (kind == "hang") {
         hung_ = size > 0;
-        set_cut(cut_);
+        set_partitioned_zone(partitioned_zone_);
     } else if (kind == "cut") {
-        set_cut(rpc::text_at(params, "zone"));
+        set_partitioned_zone(rpc::text_at(params, "zone"));
     } else {
-        trouble = "unknown fault " + kind.substr(0, 40) +
-                  "; known are ageing, cut, errors, forget, greeting, hang, lost, slow";
+        error_text = "unknown fault " + kind.substr(0, 40) +
+                     "; known are ageing, cut, errors, forget, greeting, hang, lost, slow";
         return false;
     }
     return true;
--- a/src/standin/engine_server.h
+++ b/src/standin/engine_server.h
@@ -1,6 +1,6 @@
-// A stand-in engine on real sockets: the model behind the protocol of docs/protocol.md, with faults on
-// command and a record of all that crossed its sockets. Faults are injected here and in the callers, never in
-// the gateway.
+// A fake model server on real sockets: the simulation behind the protocol of docs/protocol.md, with faults on
+// command and a record of everything that crossed its sockets. Faults are injected here and in the clients,
+// never in the gateway.
 #pragma once
 
 #include <memory>
@@ -22,11 +22,11 @@
     std::string name, zone, cell, listen = "127.0.0.1:0", record;
     std::uint32_t seed = 1;
     Reports reports = Reports::none;
-    double fetch_per_s = 300000;  // tokens of a state that move in a second
-    bool cold = false;            // starts cold; else it counts as started long ago
+    double fetch_per_s = 300000;  // tokens of a state that are transferred per second
+    bool cold = false;            // starts cold; otherwise it counts as started long ago
 };
 
-class EngineServer : private EngineModel::Host {
+class EngineServer : private ModelServerSimulation::Host {
   public:
     EngineServer(Loop& loop, const EngineShape& shape, const EngineIdentity& identity);
     ~EngineServer() override;
@@ -38,63 +38,66 @@
   private:
     class Peer;
     class Fetcher;
-    struct Work {
+    struct ActiveCall {
         std::uint64_t peer = 0;
         rpc::Id id;
         rpc::Order order;
-        bool reading = false;
+        bool is_prefill = false;
     };
 
     Instant now() const override { return loop_.now(); }
-    void wake_at(Instant at) override { wake_.set(at - loop_.now()); }
-    void read_done(JobId job, double kept) override;
+    void wake_at(Instant at) override { wake_timer_.set(at - loop_.now()); }
+    void prefill_done(JobId job, double cached) override;
     void fetch(JobId job) override;
     void token(JobId job, std::uint64_t number) override;
-    void written(JobId job, double tokens, double kept) override;
-    void turned_away(JobId job, const char* why) override;
-    void no_state(JobId job) override;
-    void expired(JobId job) override;
-    void fell_over() override;
+    void decode_done(JobId job, double tokens, double cached) override;
+    void job_rejected(JobId job, const char* why) override;
+    void state_missing(JobId job) override;
+    void job_expired(JobId job) override;
+    void crashed() override;
 
-    void called(Peer& peer, const rpc::Message& m);
-    void noticed(Peer& peer, const rpc::Message& m);
-    void ordered(Peer& peer, const rpc::Message& m, bool reading);
-    void closed(Peer& peer);
-    bool fault(const rpc::Json& params, std::string& trouble);
-    void set_cut(const std::string& zone);
-    void look_after_states();
-    LoadReport told() const { return identity_.reports == Reports::inline_ ? model_.report() : LoadReport{}; }
-    // Sends the answer of a job and forgets it, unless the answer is to be lost.
-    void answer(JobId job, const std::string& line, const char* how, rpc::Json more = rpc::Json::object());
-    rpc::Json about(JobId job) const;
-    double chance() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+    void handle_call(Peer& peer, const rpc::Message& m);
+    void handle_notice(Peer& peer, const rpc::Message& m);
+    void start_job(Peer& peer, const rpc::Message& m, bool is_prefill);
+    void remove_peer(Peer& peer);
+    bool apply_fault(const rpc::Json& params, std::string& error_text);
+    void set_partitioned_zone(const std::string& zone);
+    void free_abandoned_states();
+    LoadReport load_report_for_answer() const {
+        return identity_.reports == Reports::inline_ ? simulation_.report() : LoadReport{};
+    }
+    // Sends the answer of a job and forgets the job; a fault may drop the answer.
+    void send_answer(JobId job, const std::string& line, const char* how,
+                     rpc::Json more = rpc::Json::object());
+    rpc::Json job_fields(JobId job) const;
+    double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
     Loop& loop_;
     const EngineShape shape_;
     const EngineIdentity identity_;
     Recorder record_;
     const std::int64_t born_ms_;
-    EngineModel model_;
+    ModelServerSimulation simulation_;
     Listener listener_;
-    Timer wake_, second_, ageing_;
-    std::minstd_rand chance_;
+    Timer wake_timer_, abandoned_timer_, ageing_timer_;
+    std::minstd_rand random_;
     std::uint64_t next_peer_ = 1;
     JobId next_job_ = 1;
     std::unordered_map<std::uint64_t, std::unique_ptr<Peer>> peers_;
-    std::unordered_map<JobId, Work> work_;
+    std::unordered_map<JobId, ActiveCall> active_calls_;
     std::map<std::string, std::unique_ptr<Fetcher>> fetchers_;
-    struct Held {
-        std::string owner, query;  // gateway's name and life
-        Instant seen;
+    struct HeldState {
+        std::string owner, request;  // owner: name and life of the gateway
+        Instant last_seen;
     };
-    std::map<std::string, Held> held_;
+    std::map<std::string, HeldState> held_states_;
 
-    // Faults in force.
-    double errors_ = 0, lost_ = 0, slow_ = 1, ageing_to_ = 1;
-    bool lost_resets_ = false, hung_ = false;
-    Span greeting_delay_, ageing_for_;
+    // Active faults.
+    double error_share_ = 0, lost_answer_share_ = 0, slowdown_ = 1, ageing_factor_ = 1;
+    bool lost_answers_reset_ = false, hung_ = false;
+    Span hello_delay_, ageing_duration_;
     Instant ageing_since_;
-    std::string cut_;  // the zone that is cut off from all others
+    std::string partitioned_zone_;  // the zone that is cut off from all others
 };
 
 }  // namespace copperfront::standin
--- a/src/standin/held_states.h
+++ b/src/standin/held_states.h
@@ -1,7 +1,7 @@
-// What model servers hold for requests, by the platform's pages: the state that a prefill leaves, and the
-// hand-overs that wait for it. Every fake model server plays its part through this one model. It is free of
-// clocks; where the marks lie is up to the store, so that fakes in one process and fakes in several follow
-// the same rules.
+// What model servers hold for requests, by the platform's documentation: the state that a prefill leaves, and
+// the hand-overs that wait for it. Every fake model server uses this one model. It uses no clock; the store
+// decides where markers are kept, so that fake servers in one process and in several processes follow the
+// same rules.
 #pragma once
 
 #include <map>
@@ -11,38 +11,38 @@
 
 namespace copperfront::standin {
 
-// Marks that fakes leave for a request. Marks of processes that have died may be left out.
-class MarkStore {
+// Markers that fake servers leave for a request. Markers of dead processes may be left out.
+class MarkerStore {
   public:
-    virtual ~MarkStore() = default;
-    virtual void add(const std::string& request, const std::string& mark) = 0;
+    virtual ~MarkerStore() = default;
+    virtual void add(const std::string& request, const std::string& marker) = 0;
     // False: there was none.
-    virtual bool remove(const std::string& request, const std::string& mark) = 0;
-    virtual std::set<std::string> marks(const std::string& request) const = 0;
+    virtual bool remove(const std::string& request, const std::string& marker) = 0;
+    virtual std::set<std::string> markers(const std::string& request) const = 0;
 };
 
-// In one process.
-class MemoryMarkStore final : public MarkStore {
+// Keeps markers in one process.
+class MemoryMarkStore final : public MarkerStore {
   public:
-    void add(const std::string& request, const std::string& mark) override;
-    bool remove(const std::string& request, const std::string& mark) override;
-    std::set<std::string> marks(const std::string& request) const override;
+    void add(const std::string& request, const std::string& marker) override;
+    bool remove(const std::string& request, const std::string& marker) override;
+    std::set<std::string> markers(const std::string& request) const override;
     std::vector<std::string> requests() const;
 
   private:
-    std::map<std::string, std::set<std::string>> marks_;
+    std::map<std::string, std::set<std::string>> markers_;
 };
 
-// Files in a folder that several processes share. Attempts have to be named by `attempt_name`, so that those
-// of a process that has died can be told.
-class FolderMarkStore final : public MarkStore {
+// Keeps markers as files in a folder that several processes share. Attempts have to be named by
+// `attempt_name`, so that those of a dead process can be recognized.
+class FolderMarkerStore final : public MarkerStore {
   public:
-    explicit FolderMarkStore(std::string folder) : folder_(std::move(folder)) {}
-    // Of an attempt at this process.
+    explicit FolderMarkerStore(std::string folder) : folder_(std::move(folder)) {}
+    // The name of an attempt at this process.
     static std::string attempt_name(std::uint64_t call);
-    void add(const std::string& request, const std::string& mark) override;
-    bool remove(const std::string& request, const std::string& mark) override;
-    std::set<std::string> marks(const std::string& request) const override;
+    void add(const std::string& request, const std::string& marker) override;
+    bool remove(const std::string& request, const std::string& marker) override;
+    std::set<std::string> markers(const std::string& request) const override;
 
   private:
     std::string folder_of(const std::string& request) const;
@@ -51,31 +51,31 @@
 
 class HeldStates {
   public:
-    explicit HeldStates(MarkStore& store) : store_(store) {}
+    explicit HeldStates(MarkerStore& store) : store_(store) {}
 
-    // A prefill server has read the prompt. `attempt`: the prefill.
+    // A prefill server has processed the prompt. `attempt`: the prefill.
     void prefill_ended(const std::string& request, const std::string& attempt);
     bool is_held(const std::string& request) const;
-    // A hand-over has arrived and waits for the state. False: there is none, and it has not run.
+    // A hand-over has arrived and waits for the state. False: there is none, and the hand-over has not run.
     bool hand_over_arrived(const std::string& request, const std::string& attempt);
-    // It takes the state. False: the state has gone meanwhile.
+    // The hand-over takes the state. False: the state is gone by now.
     bool fetch(const std::string& request, const std::string& attempt);
-    // Answered, turned away, or its connection has ended.
+    // Answered, rejected, or its connection has ended.
     void attempt_over(const std::string& request, const std::string& attempt);
 
     enum class ReleaseEffect {
         nothing_held,
-        let_go,
-        kept,  // an attempt waits for it
+        released,
+        kept,  // an attempt waits for the state
     };
     ReleaseEffect release(const std::string& request);
 
   private:
-    bool has_mark(const std::string& request, const std::string& kind) const;
+    bool has_marker(const std::string& request, const std::string& kind) const;
     // False: nothing was held.
     bool drop_states(const std::string& request);
 
-    MarkStore& store_;
+    MarkerStore& store_;
 };
 
 }  // namespace copperfront::standin
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -1,5 +1,5 @@
-// A stand-in of the platform for one loop: model servers and discovery over HTTP/1.1, with faults on command
-// and a memory of what crossed their sockets.
+// A fake of the platform for one loop: model servers and discovery over HTTP/1.1, with faults on command and
+// a log of the requests that they received.
 #pragma once
 
 #include <cstdint>
@@ -18,37 +18,37 @@
 
 namespace copperfront::standin {
 
-// What a model server does with the next call in place of its usual work.
+// What a model server does with its next call instead of its usual work.
 enum class Fault {
     none,
     turned_away,      // 503, never ran
-    turned_away_ran,  // 503 without the mark
+    turned_away_ran,  // 503 without the header that says that it never ran
     error,            // 500
     no_state,         // 410, never ran
-    silent,           // nothing at all
-    closes,           // the connection ends without a word
-    resets,           // the same, as when a process dies
-    noise,            // no HTTP
+    silent,           // no answer at all
+    closes,           // the connection closes without an answer
+    resets,           // the same with a reset, as when a process dies
+    noise,            // not HTTP
     head_without_end,
-    interim,          // 1xx ahead, then as usual
-    no_event,         // a well-formed stream of what is no event
+    interim,          // 1xx responses first, then as usual
+    no_event,         // a well-formed stream whose content is not an event
     size_unreadable,  // after an event
     size_huge,
     size_misfit,
-    breaks,         // after an event the connection ends
+    breaks,         // the connection closes after an event
     falls_silent,   // after an event
-    ends_early,     // a whole message, but without the last event
-    second_answer,  // right behind a good one
+    ends_early,     // a complete message without the last event
+    second_answer,  // directly after a good one
 };
 
-// One world that its model servers share: states of reads lie in it under the id of their query.
+// The model servers share one store: the states of prefills are kept in it under the request's id.
 class Platform {
   public:
     struct Shape {
         Span read{20000}, first{10000}, gap{5000};
         int events = 5;
     };
-    struct Heard {
+    struct ReceivedRequest {
         std::string server, method, target, id, body;
         std::int64_t left_ms = -1;
         Instant at;
@@ -58,58 +58,58 @@
     Platform(Loop& loop, const Shape& shape);
     ~Platform();
 
-    // Listens at once, and is in the list from now on.
+    // Listens at once; the server is in the list from now on.
     void add(const std::string& name, Role role, const std::string& zone, int group,
              const std::string& listen = "127.0.0.1:0");
-    // The list has this server from now on, whose address somebody else listens at.
-    struct Listed {
+    // Adds servers to the list whose addresses somebody else listens at.
+    struct ListEntry {
         std::string name, zone, address;
         Role role = Role::reader;
         int group = 0;
         std::int64_t since_ms = 0;
     };
-    void list(const std::vector<Listed>& servers);
+    void list(const std::vector<ListEntry>& servers);
     void set(const std::string& name, const std::string& status);  // up, draining or removed
-    // The same for many at once, told as one change.
+    // The same for many servers, announced as one change.
     void set_all(const std::vector<std::string>& names, const std::string& status);
-    // When its process started, as the list has it; 0: long ago. It is not told as a change.
+    // The start of its process, as the list has it; 0: long ago. It is not announced as a change.
     void set_start(const std::string& name, std::int64_t since_ms);
-    // The list names another address for it, where somebody else may listen.
+    // The list has another address for the server, where somebody else may listen.
     void point(const std::string& name, const std::string& address);
-    // The process ends: its connections are reset and new ones refused; as another start under the same name
-    // and a new address once it is added again.
+    // The process ends: its connections are reset and new ones refused. Once it is added again, it is another
+    // start under the same name and a new address.
     void kill(const std::string& name);
     void next(const std::string& name, Fault fault, int times = 1);
 
     Address discovery() const;
-    // Discovery as one gateway has it, under an address of its own.
-    Address discovery_of(const std::string& gateway);
-    // Another address for discovery, the old one gone.
+    // Discovery as one gateway sees it, under an address of its own.
+    Address discovery_for(const std::string& gateway);
+    // Moves discovery to another address and closes the old one.
     void move_discovery();
-    // The answer to the next call to discovery, in place of the list.
-    void next_list(const std::string& body) { odd_lists_.push_back(body); }
-    void discovery_is_silent(bool silent) { silent_ = silent; }
-    // Whole lists come so long after they were asked for.
-    void whole_lists_take(Span time) { list_takes_ = time; }
-    // Whole lists are written in so many pieces, this far apart.
+    // Sets the answer to the next call to discovery, in place of the list.
+    void next_list(const std::string& body) { replacement_lists_.push_back(body); }
+    void discovery_is_silent(bool silent) { is_discovery_silent_ = silent; }
+    // Delay of whole lists after the request for them.
+    void whole_lists_take(Span time) { snapshot_delay_ = time; }
+    // Whole lists are written in this many pieces with this interval between them.
     void write_whole_lists_in_pieces(std::size_t pieces, Span apart) {
-        list_pieces_ = pieces;
-        pieces_apart_ = apart;
+        snapshot_pieces_ = pieces;
+        piece_interval_ = apart;
     }
     void indent_lists(bool indent);
-    // Its port refuses connections, and open ones are reset.
+    // The port of discovery refuses connections, and open ones are reset.
     void discovery_is_down(bool down);
-    // Of the calls that are open now: none is ever answered, or each is reset.
+    // For the calls that are open now: none is ever answered, or each is reset.
     void watches_fall_silent();
     void watches_are_reset();
-    // The list in discovery's form.
+    // The list in the format of discovery.
     std::string list() const;
 
-    const std::vector<Heard>& heard() const { return heard_; }
+    const std::vector<ReceivedRequest>& heard() const { return received_; }
     // Answers of discovery in the order in which their first bytes were written.
     struct WrittenList {
-        Instant at, whole_at;  // whole_at: of its last byte; zero: it was not written
-        std::string gateway;   // that it was written to; empty: at the address that is nobody's own
+        Instant at, completed_at;  // completed_at: of its last byte; zero: not written
+        std::string gateway;       // that it was written to; empty: at the shared address
         std::uint64_t index = 0;
         bool whole = false;
         std::size_t bytes = 0;
@@ -117,13 +117,13 @@
     std::uint64_t list_index() const { return index_; }
     const std::vector<WrittenList>& written_lists() const { return written_lists_; }
     std::size_t count(const std::string& method, const std::string& server = "") const;
-    // Requests for which a state is held.
+    // Number of requests for which a state is held.
     std::size_t states() const;
     std::vector<std::string> held_requests() const;
-    std::size_t connections() const { return lines_.size(); }
+    std::size_t connections() const { return server_connections_.size(); }
 
   private:
-    class Line;
+    class ServerConnection;
     class Watcher;
     struct Server {
         std::string name, zone, status = "up";
@@ -136,28 +136,28 @@
         std::string entry, indented_entry;  // in the list
     };
     Fault fault_for(const std::string& server);
-    void changed(const std::vector<std::string>& names);
-    std::string entries(const std::vector<std::string>& names) const;
+    void publish_changes(const std::vector<std::string>& names);
+    std::string entries_json(const std::vector<std::string>& names) const;
     std::unique_ptr<Listener> open_discovery(const std::string& gateway, const Address& at);
     void write_entry(Server& server) const;
-    void drop(Line& line, bool reset);
+    void drop(ServerConnection& connection, bool reset);
     void drop(Watcher& watcher, bool reset = false);
 
     Loop& loop_;
     const Shape shape_;
     std::map<std::string, Server> servers_;
-    MemoryMarkStore marks_;
-    HeldStates held_states_{marks_};
-    std::vector<Heard> heard_;
+    MemoryMarkStore markers_;
+    HeldStates held_states_{markers_};
+    std::vector<ReceivedRequest> received_;
     std::uint64_t next_connection_ = 1, index_ = 1;
     std::vector<std::pair<std::uint64_t, std::string>> changes_;
-    std::deque<std::string> odd_lists_;
-    bool silent_ = false;
-    Span list_takes_, pieces_apart_;
-    std::size_t list_pieces_ = 1;
+    std::deque<std::string> replacement_lists_;
+    bool is_discovery_silent_ = false;
+    Span snapshot_delay_, piece_interval_;
+    std::size_t snapshot_pieces_ = 1;
     bool indents_lists_ = false;
     std::vector<WrittenList> written_lists_;
-    std::map<Line*, std::unique_ptr<Line>> lines_;
+    std::map<ServerConnection*, std::unique_ptr<ServerConnection>> server_connections_;
     std::map<Watcher*, std::unique_ptr<Watcher>> watchers_;
     std::unique_ptr<Listener> discovery_;  // null: down
     Address discovery_address_;
--- a/src/standin/roster_server.cpp
+++ b/src/standin/roster_server.cpp
@@ -19,19 +19,19 @@
         link_ = Link::accepted(server.loop_, fd, kBounds, *this);
     }
     void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing, const std::string&) override { server_.closed(*this); }
+    void link_closed(Link&, Closing, const std::string&) override { server_.remove_peer(*this); }
 
-    void tell(const rpc::RosterNews& news, const rpc::Id* answer_to) {
-        server_.note_told(*this, news);
+    void send_update(const rpc::RosterNews& news, const rpc::Id* answer_to) {
+        server_.record_update(*this, news);
         link_->send(answer_to ? rpc::result(*answer_to, rpc::news_json(news))
                               : rpc::notice(rpc::kRosterChanged, rpc::news_json(news)));
-        told_ = news.version;
-        watches_ = true;
+        sent_version_ = news.version;
+        is_watching_ = true;
     }
     std::uint64_t id() const { return id_; }
     const rpc::Hello& hello() const { return hello_; }
-    bool watches() const { return watches_; }
-    std::uint64_t told() const { return told_; }
+    bool is_watching() const { return is_watching_; }
+    std::uint64_t sent_version() const { return sent_version_; }
     std::unique_ptr<Link> take_link() { return std::move(link_); }
 
   private:
@@ -39,8 +39,8 @@
     const std::uint64_t id_;
     std::unique_ptr<Link> link_;
     rpc::Hello hello_;
-    bool watches_ = false;
-    std::uint64_t told_ = 0;
+    bool is_watching_ = false;
+    std::uint64_t sent_version_ = 0;
 };
 
 void RosterServer::Peer::line_came(Link&, std::string_view line) {
@@ -60,11 +60,11 @@
         hello_ = std::get<rpc::Hello>(hello);
         link_->send(rpc::hello_answer_line(m.id, "roster", "0.2.0"));
     } else if (m.method == rpc::kWatch) {
-        // Whatever a gateway has, it gets the whole list as of its own delay ago.
-        const std::uint64_t version = server_.seen_by(*this);
+        // The answer is the whole list as of the gateway's delay ago, whatever version the gateway has.
+        const std::uint64_t version = server_.version_for(*this);
         const rpc::RosterNews news{version, true, server_.list_at(version)};
-        tell(news, &m.id);
-        server_.push();
+        send_update(news, &m.id);
+        server_.push_due_changes();
     } else if (m.method == rpc::kPing) {
         link_->send(rpc::result(m.id, Json::object()));
     } else if (m.method == "roster/set") {
@@ -80,8 +80,8 @@
         link_->send(rpc::result(m.id, Json::object()));
     } else if (m.method == "standin/fault") {
         server_.record_.note("fault", {{"fault", m.body}});
-        server_.late_ = {static_cast<std::int64_t>(rpc::number_at(m.body, "size") * 1000)};
-        server_.push();
+        server_.extra_delay_ = {static_cast<std::int64_t>(rpc::number_at(m.body, "size") * 1000)};
+        server_.push_due_changes();
         link_->send(rpc::result(m.id, Json::object()));
     } else {
         link_->send(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method.substr(0, 80)));
@@ -97,7 +97,7 @@
                     const std::uint64_t id = next_peer_++;
                     peers_.emplace(id, std::make_unique<Peer>(*this, id, fd));
                 }),
-      push_(loop, [this] { push(); }) {
+      push_timer_(loop, [this] { push_due_changes(); }) {
     record_.note("start", {{"name", "roster"}, {"server", address().text()}});
 }
 
@@ -110,25 +110,25 @@
 
 void RosterServer::change(const std::vector<rpc::RosterEntry>& entries) {
     versions_.push_back({loop_.now(), entries});
-    push();
+    push_due_changes();
 }
 
-// The same for a gateway as long as it goes by the same name, so that lists differ between gateways.
+// The delay stays the same for a gateway as long as it keeps its name, so that lists differ between gateways.
 Span RosterServer::delay_of(const std::string& gateway) {
-    const auto [it, fresh] = drawn_.try_emplace(gateway, 0);
+    const auto [it, fresh] = delay_draws_.try_emplace(gateway, 0);
     if (fresh) {
         std::minstd_rand chance(static_cast<std::uint32_t>(mark(gateway) ^ identity_.seed));
         chance.discard(8);
         it->second = std::uniform_real_distribution<double>(0, 1)(chance);
     }
-    return identity_.least_delay + (identity_.most_delay - identity_.least_delay) * it->second + late_;
+    return identity_.least_delay + (identity_.most_delay - identity_.least_delay) * it->second + extra_delay_;
 }
 
-std::uint64_t RosterServer::seen_by(const Peer& peer) {
+std::uint64_t RosterServer::version_for(const Peer& peer) {
     const Instant until = loop_.now() - delay_of(peer.hello().name);
     std::uint64_t version = 0;
     while (version < versions_.size() && versions_[version].at <= until) ++version;
-    // The list that a fleet begins with is known to all from the start.
+    // Every gateway knows the initial list from the start.
     return std::max<std::uint64_t>(version, versions_.empty() ? 0 : 1);
 }
 
@@ -146,31 +146,31 @@
     return out;
 }
 
-void RosterServer::push() {
+void RosterServer::push_due_changes() {
     Span next{INT64_MAX};
     for (const auto& [id, peer] : peers_) {
-        if (!peer->watches()) continue;
-        while (peer->told() < versions_.size()) {
-            const Version& v = versions_[peer->told()];
-            const Span left = v.at + delay_of(peer->hello().name) - loop_.now();
+        if (!peer->is_watching()) continue;
+        while (peer->sent_version() < versions_.size()) {
+            const Version& version = versions_[peer->sent_version()];
+            const Span left = version.at + delay_of(peer->hello().name) - loop_.now();
             if (left.us > 0) {
                 next = std::min(next, left);
                 break;
             }
-            peer->tell({peer->told() + 1, false, v.changes}, nullptr);
+            peer->send_update({peer->sent_version() + 1, false, version.changes}, nullptr);
         }
     }
-    if (next.us != INT64_MAX) push_.set(next);
+    if (next.us != INT64_MAX) push_timer_.set(next);
 }
 
-void RosterServer::note_told(const Peer& peer, const rpc::RosterNews& news) {
+void RosterServer::record_update(const Peer& peer, const rpc::RosterNews& news) {
     if (!record_.on()) return;
-    Json noted = rpc::news_json(news);
-    noted["gw"] = peer.hello().name + "." + peer.hello().life;
-    record_.note("told", std::move(noted));
+    Json fields = rpc::news_json(news);
+    fields["gw"] = peer.hello().name + "." + peer.hello().life;
+    record_.note("told", std::move(fields));
 }
 
-void RosterServer::closed(Peer& peer) {
+void RosterServer::remove_peer(Peer& peer) {
     const auto it = peers_.find(peer.id());
     if (it == peers_.end()) return;
     Link::hand_off(loop_, peer.take_link(), false);
--- a/src/standin/roster_server.h
+++ b/src/standin/roster_server.h
@@ -1,5 +1,5 @@
-// A stand-in roster: holds the list of servers, pushes changes to every gateway, late and not alike to all,
-// and records what it told to whom.
+// A fake roster: holds the list of servers, pushes changes to every gateway with a delay that differs between
+// gateways, and records what it sent to which gateway.
 #pragma once
 
 #include <map>
@@ -17,7 +17,8 @@
 struct RosterIdentity {
     std::string listen = "127.0.0.1:0", record;
     std::uint32_t seed = 1;
-    Span least_delay{200000}, most_delay{1000000};  // how late a gateway hears of a change; drawn for each
+    Span least_delay{200000},
+        most_delay{1000000};  // delay until a gateway learns of a change; drawn for each gateway
 };
 
 class RosterServer {
@@ -25,7 +26,7 @@
     RosterServer(Loop& loop, const RosterIdentity& identity);
     ~RosterServer();
     Address address() const { return listener_.address(); }
-    // A change of the true list. It becomes a new version, of which each gateway hears in its own time.
+    // Changes the true list. This makes a new version, which each gateway receives after its own delay.
     void change(const std::vector<rpc::RosterEntry>& entries);
     void stop();
 
@@ -35,21 +36,21 @@
         Instant at;
         std::vector<rpc::RosterEntry> changes;
     };
-    void push();
-    void closed(Peer& peer);
+    void push_due_changes();
+    void remove_peer(Peer& peer);
     Span delay_of(const std::string& gateway);
-    std::uint64_t seen_by(const Peer& peer);
+    std::uint64_t version_for(const Peer& peer);
     std::vector<rpc::RosterEntry> list_at(std::uint64_t version) const;
-    void note_told(const Peer& peer, const rpc::RosterNews& news);
+    void record_update(const Peer& peer, const rpc::RosterNews& news);
 
     Loop& loop_;
     const RosterIdentity identity_;
     Recorder record_;
     Listener listener_;
-    Timer push_;
-    std::vector<Version> versions_;  // version n stands at n - 1
-    std::map<std::string, double> drawn_;
-    Span late_;  // added by the trouble of a late roster
+    Timer push_timer_;
+    std::vector<Version> versions_;  // version n is at index n - 1
+    std::map<std::string, double> delay_draws_;
+    Span extra_delay_;  // added by the fault of a late roster
     std::uint64_t next_peer_ = 1;
     std::map<std::uint64_t, std::unique_ptr<Peer>> peers_;
 };
