--- a/tests/soak/judge_test.cpp
+++ b/tests/soak/judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge of the soak: a case of each reading of the rule on held states, to the millisecond.
+// Tests the judge of the soak: one case for each part of the rule on held states, to the millisecond.
 #include "soak/judge.h"
 
 #include <gtest/gtest.h>
@@ -8,14 +8,14 @@
 
 constexpr Microseconds kMs = 1000;
 constexpr Microseconds kStart = 1000 * kMs;
-// The settings' time, the protocol's 300 ms, and what the judge allows for a busy machine.
-constexpr Microseconds kHeldAtMost = 1420 * kMs;
+// The release time of the settings, the protocol's 300 ms, and the judge's tolerance for a busy machine.
+constexpr Microseconds kHoldLimit = 1420 * kMs;
 
-// One request of which servers have recorded these events, in milliseconds from its start.
-struct Course {
+// One request for which servers have recorded these events, by the time from its start.
+struct RecordedRequest {
     Records records;
 
-    Course() {
+    RecordedRequest() {
         RequestRecord request;
         request.request = "q";
         request.sent = kStart;
@@ -25,7 +25,7 @@
         records.requests.push_back(request);
         records.ended = kStart + 30000 * kMs;
     }
-    Course& at(Microseconds us, ServerEvent event, std::uint64_t call = 0) {
+    RecordedRequest& at(Microseconds us, ServerEvent event, std::uint64_t call = 0) {
         ServerRecord record;
         record.at = kStart + us;
         record.event = event;
@@ -37,7 +37,7 @@
         return *this;
     }
     // A prefill that has left its state at this time.
-    Course& prefilled(Microseconds us) {
+    RecordedRequest& prefilled(Microseconds us) {
         return at(0, ServerEvent::arrived, 1).at(us, ServerEvent::held, 1).at(us, ServerEvent::ended, 1);
     }
     bool is_held_too_long() const {
@@ -48,48 +48,51 @@
     }
 };
 
-TEST(HeldStateJudge, AllowsTheTimeToTheMillisecond) {
-    EXPECT_FALSE(Course().prefilled(0).at(kHeldAtMost, ServerEvent::released).is_held_too_long());
-    EXPECT_TRUE(Course().prefilled(0).at(kHeldAtMost + kMs, ServerEvent::released).is_held_too_long());
+TEST(HeldStateJudge, AllowsTheReleaseTimeToTheMillisecond) {
+    EXPECT_FALSE(RecordedRequest().prefilled(0).at(kHoldLimit, ServerEvent::released).is_held_too_long());
+    EXPECT_TRUE(
+        RecordedRequest().prefilled(0).at(kHoldLimit + kMs, ServerEvent::released).is_held_too_long());
 }
 
-TEST(HeldStateJudge, FindsAStateThatNobodyReleases) { EXPECT_TRUE(Course().prefilled(0).is_held_too_long()); }
+TEST(HeldStateJudge, FindsAStateThatNobodyReleases) {
+    EXPECT_TRUE(RecordedRequest().prefilled(0).is_held_too_long());
+}
 
 TEST(HeldStateJudge, HandOverThatTakesTheStateEndsTheHold) {
-    EXPECT_FALSE(Course()
+    EXPECT_FALSE(RecordedRequest()
                      .prefilled(0)
                      .at(5 * kMs, ServerEvent::arrived, 2)
                      .at(3000 * kMs, ServerEvent::taken, 2)
                      .is_held_too_long());
 }
 
-TEST(HeldStateJudge, TimeRestsWhileAHandOverThatHasArrivedIsOut) {
-    EXPECT_FALSE(Course()
+TEST(HeldStateJudge, TimePausesWhileAHandOverThatHasArrivedIsInFlight) {
+    EXPECT_FALSE(RecordedRequest()
                      .prefilled(0)
                      .at(5 * kMs, ServerEvent::arrived, 2)
                      .at(5000 * kMs, ServerEvent::closed, 2)
-                     .at(5000 * kMs + kHeldAtMost, ServerEvent::released)
+                     .at(5000 * kMs + kHoldLimit, ServerEvent::released)
                      .is_held_too_long());
 }
 
 TEST(HeldStateJudge, TimeStartsAgainWithTheHandOversOutcome) {
-    EXPECT_TRUE(Course()
+    EXPECT_TRUE(RecordedRequest()
                     .prefilled(0)
                     .at(5 * kMs, ServerEvent::arrived, 2)
                     .at(5000 * kMs, ServerEvent::closed, 2)
-                    .at(5001 * kMs + kHeldAtMost, ServerEvent::released)
+                    .at(5001 * kMs + kHoldLimit, ServerEvent::released)
                     .is_held_too_long());
 }
 
-// The incident: the one release came while the hand-over waited.
+// Guards against a state that is never released because the only release came while the hand-over waited.
 TEST(HeldStateJudge, ReleaseWhileAHandOverWaitsEndsNoHold) {
-    EXPECT_TRUE(Course()
+    EXPECT_TRUE(RecordedRequest()
                     .prefilled(0)
                     .at(5 * kMs, ServerEvent::arrived, 2)
                     .at(750 * kMs, ServerEvent::release_kept)
                     .at(4000 * kMs, ServerEvent::closed, 2)
                     .is_held_too_long());
-    EXPECT_FALSE(Course()
+    EXPECT_FALSE(RecordedRequest()
                      .prefilled(0)
                      .at(5 * kMs, ServerEvent::arrived, 2)
                      .at(750 * kMs, ServerEvent::release_kept)
@@ -98,9 +101,9 @@
                      .is_held_too_long());
 }
 
-// A server that says it has let go of the state is not believed.
-TEST(HeldStateJudge, ReleaseThatIsSaidToHaveCountedWhileAHandOverWaitsEndsNoHold) {
-    EXPECT_TRUE(Course()
+// The record of a server that says that it has freed the state does not count here.
+TEST(HeldStateJudge, RecordedReleaseWhileAHandOverWaitsEndsNoHold) {
+    EXPECT_TRUE(RecordedRequest()
                     .prefilled(0)
                     .at(5 * kMs, ServerEvent::arrived, 2)
                     .at(750 * kMs, ServerEvent::released)
@@ -108,33 +111,34 @@
                     .is_held_too_long());
 }
 
-// One that has not arrived is not out.
+// A hand-over that has not arrived is not in flight.
 TEST(HeldStateJudge, HandOverThatNeverArrivesStopsNoClock) {
-    EXPECT_TRUE(Course().prefilled(0).at(2000 * kMs, ServerEvent::released).is_held_too_long());
+    EXPECT_TRUE(RecordedRequest().prefilled(0).at(2000 * kMs, ServerEvent::released).is_held_too_long());
 }
 
-// Its answer was written in part, and its connection stays open: the server is through with it.
+// Its answer was written in part and its connection stays open: the server has finished the prefill.
 TEST(HeldStateJudge, PrefillWhoseAnswerStaysHalfSentIsOver) {
-    EXPECT_TRUE(Course().prefilled(40 * kMs).at(4000 * kMs, ServerEvent::released).is_held_too_long());
+    EXPECT_TRUE(
+        RecordedRequest().prefilled(40 * kMs).at(4000 * kMs, ServerEvent::released).is_held_too_long());
 }
 
-TEST(HeldStateJudge, HandOverThatIsTurnedAwayStartsTheTimeAgain) {
-    EXPECT_FALSE(Course()
+TEST(HeldStateJudge, RejectedHandOverStartsTheTimeAgain) {
+    EXPECT_FALSE(RecordedRequest()
                      .prefilled(0)
                      .at(1000 * kMs, ServerEvent::arrived, 2)
                      .at(1001 * kMs, ServerEvent::never_ran, 2)
-                     .at(1001 * kMs + kHeldAtMost, ServerEvent::released)
+                     .at(1001 * kMs + kHoldLimit, ServerEvent::released)
                      .is_held_too_long());
 }
 
-TEST(HeldStateJudge, WhatADeadServerHeldIsGone) {
-    Course course;
-    course.prefilled(0);
-    course.records.server_deaths["prefill-1"].push_back(kStart + 500 * kMs);
-    EXPECT_FALSE(course.is_held_too_long());
+TEST(HeldStateJudge, StatesOfADeadServerAreGone) {
+    RecordedRequest recorded;
+    recorded.prefilled(0);
+    recorded.records.server_deaths["prefill-1"].push_back(kStart + 500 * kMs);
+    EXPECT_FALSE(recorded.is_held_too_long());
 }
 
-TEST(StalledClientJudge, IsOwedAnErrorOrACloseWithinThreeSeconds) {
+TEST(StalledClientJudge, GetsAnErrorOrACloseWithinThreeSeconds) {
     const auto well = [](Microseconds ended) {
         Records records;
         records.ended = kStart + 10000 * kMs;
@@ -146,34 +150,34 @@
     EXPECT_FALSE(well(0));
 }
 
-// 250 ms of the settings, the protocol's 50 ms, and what the judge allows for a busy machine.
-constexpr Microseconds kDrainAtMost = 420 * kMs;
+// 250 ms of the settings, the protocol's 50 ms, and the judge's tolerance for a busy machine.
+constexpr Microseconds kDrainLimit = 420 * kMs;
 
-// A hand-over that arrives so long after its server was withdrawn; discovery wrote the change to the gateway
-// so long after that, or never where that is negative.
+// Whether a hand-over that arrives this long after its server was withdrawn is a finding. Discovery wrote the
+// change to the gateway `written` after the withdrawal, or never if that is negative.
 bool is_late_for_drain(Microseconds arrives, Microseconds written, std::size_t to_gateway = 0) {
-    Course course;
+    RecordedRequest recorded;
     GatewayLife life;
     life.started = 1;
-    course.records.gateways.push_back(life);
-    course.records.withdrawn["decode-1"].push_back({kStart, kStart + 20000 * kMs, 7});
-    course.records.told.push_back({to_gateway, kStart - 5 * kMs, 6});
-    if (written >= 0) course.records.told.push_back({to_gateway, kStart + written, 7});
-    course.at(arrives, ServerEvent::arrived, 2).at(arrives + kMs, ServerEvent::ended, 2);
-    for (const Finding& finding : judge(course.records, {}).findings) {
+    recorded.records.gateways.push_back(life);
+    recorded.records.withdrawn["decode-1"].push_back({kStart, kStart + 20000 * kMs, 7});
+    recorded.records.written_lists.push_back({to_gateway, kStart - 5 * kMs, 6});
+    if (written >= 0) recorded.records.written_lists.push_back({to_gateway, kStart + written, 7});
+    recorded.at(arrives, ServerEvent::arrived, 2).at(arrives + kMs, ServerEvent::ended, 2);
+    for (const Finding& finding : judge(recorded.records, {}).findings) {
         if (finding.rule == "drain") return true;
     }
     return false;
 }
 
 TEST(DrainJudge, CountsFromTheMomentThatDiscoveryWroteTheChange) {
-    EXPECT_FALSE(is_late_for_drain(100 * kMs + kDrainAtMost, 100 * kMs));
-    EXPECT_TRUE(is_late_for_drain(100 * kMs + kDrainAtMost + kMs, 100 * kMs));
+    EXPECT_FALSE(is_late_for_drain(100 * kMs + kDrainLimit, 100 * kMs));
+    EXPECT_TRUE(is_late_for_drain(100 * kMs + kDrainLimit + kMs, 100 * kMs));
 }
 
 TEST(DrainJudge, CountsFromTheLatestTimeWhereNothingWasWritten) {
-    // The protocol's 50 ms are not given on top of the six seconds.
-    constexpr Microseconds kLatest = 6000 * kMs + kDrainAtMost - 50 * kMs;
+    // The protocol's 50 ms are not added to the six seconds.
+    constexpr Microseconds kLatest = 6000 * kMs + kDrainLimit - 50 * kMs;
     for (const std::size_t gateway : {std::size_t{0}, std::size_t{1}}) {
         const Microseconds written = gateway == 0 ? -1 : 100 * kMs;  // to another gateway
         EXPECT_FALSE(is_late_for_drain(kLatest, written, gateway));
--- a/tests/standin/held_states_test.cpp
+++ b/tests/standin/held_states_test.cpp
@@ -1,4 +1,4 @@
-// The one model of what model servers hold, with both of its stores.
+// Tests the model of the states that model servers hold, with both of its stores.
 #include "standin/held_states.h"
 
 #include <gtest/gtest.h>
@@ -21,21 +21,22 @@
 
 class HeldStatesIn : public testing::TestWithParam<const char*> {
   protected:
-    MarkStore& store() {
-        return std::string(GetParam()) == "memory" ? static_cast<MarkStore&>(memory_) : folder_store_;
+    MarkerStore& store() {
+        return std::string(GetParam()) == "memory" ? static_cast<MarkerStore&>(memory_) : folder_store_;
     }
     Folder folder_;
     MemoryMarkStore memory_;
-    FolderMarkStore folder_store_{folder_.path};
+    FolderMarkerStore folder_store_{folder_.path};
     HeldStates states_{store()};
-    const std::string prefill_ = FolderMarkStore::attempt_name(0);
-    const std::string attempt_ = FolderMarkStore::attempt_name(1), other_ = FolderMarkStore::attempt_name(2);
+    const std::string prefill_ = FolderMarkerStore::attempt_name(0);
+    const std::string attempt_ = FolderMarkerStore::attempt_name(1),
+                      other_ = FolderMarkerStore::attempt_name(2);
 };
 
-TEST_P(HeldStatesIn, ReleaseLetsGoOfAStateThatNoAttemptWaitsFor) {
+TEST_P(HeldStatesIn, ReleaseFreesAStateThatNoAttemptWaitsFor) {
     EXPECT_EQ(states_.release("q"), Effect::nothing_held);
     states_.prefill_ended("q", prefill_);
-    EXPECT_EQ(states_.release("q"), Effect::let_go);
+    EXPECT_EQ(states_.release("q"), Effect::released);
     EXPECT_FALSE(states_.is_held("q"));
 }
 
@@ -47,7 +48,7 @@
     states_.attempt_over("q", attempt_);
     EXPECT_EQ(states_.release("q"), Effect::kept);
     states_.attempt_over("q", other_);
-    EXPECT_EQ(states_.release("q"), Effect::let_go);
+    EXPECT_EQ(states_.release("q"), Effect::released);
 }
 
 TEST_P(HeldStatesIn, OneHandOverTakesTheState) {
@@ -59,18 +60,18 @@
     EXPECT_EQ(states_.release("q"), Effect::nothing_held);
 }
 
-TEST_P(HeldStatesIn, RequestsAreApart) {
+TEST_P(HeldStatesIn, RequestsAreIndependent) {
     states_.prefill_ended("q", prefill_);
     states_.prefill_ended("r", prefill_);
     states_.hand_over_arrived("q", attempt_);
-    EXPECT_EQ(states_.release("r"), Effect::let_go);
+    EXPECT_EQ(states_.release("r"), Effect::released);
     EXPECT_TRUE(states_.is_held("q"));
 }
 
 INSTANTIATE_TEST_SUITE_P(Each, HeldStatesIn, testing::Values("memory", "folder"),
                          [](const auto& param) { return std::string(param.param); });
 
-// A process that has died.
+// An attempt at a process that has died.
 std::string attempt_of_dead_process() {
     const pid_t child = fork();
     if (child == 0) _exit(0);
@@ -78,33 +79,33 @@
     return std::to_string(child) + ".1";
 }
 
-// What a process that has died waited for holds up no release.
+// A wait of a process that has died does not hold up a release.
 TEST(HeldStates, AttemptsOfADeadProcessDoNotWait) {
     const Folder folder;
-    FolderMarkStore store(folder.path);
+    FolderMarkerStore store(folder.path);
     HeldStates states(store);
-    states.prefill_ended("q", FolderMarkStore::attempt_name(1));
+    states.prefill_ended("q", FolderMarkerStore::attempt_name(1));
     states.hand_over_arrived("q", attempt_of_dead_process());
-    EXPECT_EQ(states.release("q"), Effect::let_go);
+    EXPECT_EQ(states.release("q"), Effect::released);
 }
 
-// And what it held has gone with it: a hand-over that comes for it is turned away.
+// The states of a process that has died are gone: a hand-over that arrives for one is rejected.
 TEST(HeldStates, StatesOfADeadProcessAreGone) {
     const Folder folder;
-    FolderMarkStore store(folder.path);
+    FolderMarkerStore store(folder.path);
     HeldStates states(store);
     states.prefill_ended("q", attempt_of_dead_process());
     EXPECT_FALSE(states.is_held("q"));
-    EXPECT_FALSE(states.hand_over_arrived("q", FolderMarkStore::attempt_name(1)));
+    EXPECT_FALSE(states.hand_over_arrived("q", FolderMarkerStore::attempt_name(1)));
 }
 
-// Two prefills of one request may each have left one.
-TEST(HeldStates, AllStatesOfARequestGoTogether) {
+// Two prefills of one request may each have left a state.
+TEST(HeldStates, AllStatesOfARequestAreReleasedTogether) {
     MemoryMarkStore store;
     HeldStates states(store);
     states.prefill_ended("q", "1");
     states.prefill_ended("q", "2");
-    EXPECT_EQ(states.release("q"), Effect::let_go);
+    EXPECT_EQ(states.release("q"), Effect::released);
     EXPECT_FALSE(states.is_held("q"));
 }
 
