--- a/src/gateway/callers.cpp
+++ b/src/gateway/callers.cpp
@@ -7,168 +7,174 @@
 
 namespace copperfront {
 
-class Callers::Session : public Link::Owner {
+class RpcClientConnections::Connection : public Link::Owner {
   public:
-    Session(Callers& callers, CallerId id, int fd, std::uint32_t listener)
-        : callers_(callers), id_(id), listener_(listener), silence_(callers.loop_, [this] { look(); }) {
-        link_ = Link::accepted(callers.loop_, fd, {callers.bounds_.line_bytes, callers.bounds_.unsent_bytes},
-                               *this);
-        heard_ = callers.loop_.now();
-        silence_.set(callers.bounds_.caller_silence);
+    Connection(RpcClientConnections& parent, ClientId id, int fd, std::uint32_t listener)
+        : parent_(parent), id_(id), listener_(listener), idle_timer_(parent.loop_, [this] { check_idle(); }) {
+        transport_ = Link::accepted(parent.loop_, fd,
+                                    {parent.bounds_.max_line_bytes, parent.bounds_.max_unsent_bytes}, *this);
+        last_activity_ = parent.loop_.now();
+        idle_timer_.set(parent.bounds_.client_idle_timeout);
     }
 
     void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing, const std::string& what) override { callers_.drop(*this, what); }
+    void link_closed(Link&, Closing, const std::string& what) override { parent_.drop(*this, what); }
 
     void tokens(const rpc::Id& id, std::string_view text) {
-        if (open_.count(id)) link_->send(rpc::tokens_line(id, text));
+        if (open_requests_.count(id)) transport_->send(rpc::tokens_line(id, text));
     }
     void answer(const rpc::Id& id, const std::string& line) {
-        if (open_.erase(id)) link_->send(line);
-        heard_ = callers_.loop_.now();
+        if (open_requests_.erase(id)) transport_->send(line);
+        last_activity_ = parent_.loop_.now();
     }
-    CallerId id() const { return id_; }
-    const std::set<rpc::Id>& open() const { return open_; }
-    std::unique_ptr<Link> take_link() {
-        silence_.off();
-        return std::move(link_);
+    ClientId id() const { return id_; }
+    const std::set<rpc::Id>& open_requests() const { return open_requests_; }
+    std::unique_ptr<Link> take_transport() {
+        idle_timer_.off();
+        return std::move(transport_);
     }
-    void say(const std::string& line) { link_->send(line); }
+    void send(const std::string& line) { transport_->send(line); }
 
   private:
-    void look() {
-        const Span silent = callers_.loop_.now() - heard_;
-        const Span most = callers_.bounds_.caller_silence;
-        if (open_.empty() && silent >= most) {
-            callers_.drop(*this, "silent for too long");
+    void check_idle() {
+        const Span idle_for = parent_.loop_.now() - last_activity_;
+        const Span limit = parent_.bounds_.client_idle_timeout;
+        if (open_requests_.empty() && idle_for >= limit) {
+            parent_.drop(*this, "silent for too long");
             return;
         }
-        silence_.set(open_.empty() ? most - silent : most);
+        idle_timer_.set(open_requests_.empty() ? limit - idle_for : limit);
     }
-    // The peer is told; after too many it is cut off.
-    void bad(const rpc::Id& id, int code, const std::string& what) {
-        link_->send(rpc::error(id, code, what));
-        if (++bad_ >= callers_.bounds_.bad_messages)
-            callers_.drop(*this, "too many bad messages; the last: " + what);
+    // Answers a bad message with an error; closes the connection after too many of them.
+    void report_bad_message(const rpc::Id& id, int code, const std::string& what) {
+        transport_->send(rpc::error(id, code, what));
+        if (++bad_message_count_ >= parent_.bounds_.max_bad_messages)
+            parent_.drop(*this, "too many bad messages; the last: " + what);
     }
-    void call(const rpc::Message& m);
+    void handle_call(const rpc::Message& m);
 
-    Callers& callers_;
-    const CallerId id_;
+    RpcClientConnections& parent_;
+    const ClientId id_;
     const std::uint32_t listener_;
-    std::unique_ptr<Link> link_;
-    Timer silence_;
-    Instant heard_;
-    std::set<rpc::Id> open_;
-    std::size_t bad_ = 0;
+    std::unique_ptr<Link> transport_;
+    Timer idle_timer_;
+    Instant last_activity_;
+    std::set<rpc::Id> open_requests_;
+    std::size_t bad_message_count_ = 0;
 };
 
-void Callers::Session::line_came(Link&, std::string_view line) {
-    heard_ = callers_.loop_.now();
+void RpcClientConnections::Connection::line_came(Link&, std::string_view line) {
+    last_activity_ = parent_.loop_.now();
     auto parsed = rpc::parse(line);
-    if (const auto* wrong = std::get_if<rpc::BadMessage>(&parsed)) {
-        // An id that is in use would make this look like that query's final answer.
-        bad(open_.count(wrong->id) ? rpc::Id{} : wrong->id, wrong->code, wrong->text);
+    if (const auto* problem = std::get_if<rpc::BadMessage>(&parsed)) {
+        // With an id that is in use the error would look like that request's final answer.
+        report_bad_message(open_requests_.count(problem->id) ? rpc::Id{} : problem->id, problem->code,
+                           problem->text);
         return;
     }
     const auto& m = std::get<rpc::Message>(parsed);
     if (m.sort == rpc::Sort::call) {
-        if (open_.count(m.id)) {
-            bad({}, rpc::kInvalidRequest, "id " + rpc::text_of(m.id) + " is in use by an open call");
+        if (open_requests_.count(m.id)) {
+            report_bad_message({}, rpc::kInvalidRequest,
+                               "id " + rpc::text_of(m.id) + " is in use by an open call");
             return;
         }
-        call(m);
+        handle_call(m);
     } else if (m.sort == rpc::Sort::notice) {
         if (m.method != rpc::kCancelled) return;
         const auto id = m.body.find("requestId");
-        rpc::Id which;
+        rpc::Id request_id;
         if (id != m.body.end() && id->is_number_integer())
-            which = id->get<std::int64_t>();
+            request_id = id->get<std::int64_t>();
         else if (id != m.body.end() && id->is_string())
-            which = id->get<std::string>();
+            request_id = id->get<std::string>();
         else
-            return bad({}, rpc::kInvalidParams, "cancelled: requestId: expected the id of an open call");
-        // One that has just been answered may still be cancelled; nothing is owed then.
-        if (open_.erase(which)) callers_.owner_.left(id_, which);
+            return report_bad_message({}, rpc::kInvalidParams,
+                                      "cancelled: requestId: expected the id of an open call");
+        // A request that has just been answered may still be cancelled; no answer is due then.
+        if (open_requests_.erase(request_id)) parent_.owner_.client_left(id_, request_id);
     } else {
-        bad({}, rpc::kInvalidRequest, "an answer to nothing that was asked");
+        report_bad_message({}, rpc::kInvalidRequest, "an answer to nothing that was asked");
     }
 }
 
-void Callers::Session::call(const rpc::Message& m) {
+void RpcClientConnections::Connection::handle_call(const rpc::Message& m) {
     if (m.method == rpc::kPing) {
-        link_->send(rpc::result(m.id, rpc::Json::object()));
+        transport_->send(rpc::result(m.id, rpc::Json::object()));
     } else if (m.method == rpc::kInitialize) {
-        link_->send(rpc::hello_answer_line(m.id, callers_.gateway_, "0.2.0"));
+        transport_->send(rpc::hello_answer_line(m.id, parent_.gateway_name_, "0.2.0"));
     } else if (m.method == rpc::kStatus) {
-        link_->send(rpc::result(m.id, callers_.owner_.status()));
+        transport_->send(rpc::result(m.id, parent_.owner_.status()));
     } else if (m.method == rpc::kGenerate) {
-        auto read = rpc::read_ask(m.body);
-        if (const auto* wrong = std::get_if<std::string>(&read))
-            return bad(m.id, rpc::kInvalidParams, *wrong);
-        if (open_.size() >= callers_.bounds_.queries_a_caller) {
-            link_->send(rpc::error(m.id, rpc::kNotTaken, "too many open queries on this connection"));
+        auto params = rpc::read_ask(m.body);
+        if (const auto* problem = std::get_if<std::string>(&params))
+            return report_bad_message(m.id, rpc::kInvalidParams, *problem);
+        if (open_requests_.size() >= parent_.bounds_.max_requests_per_client) {
+            transport_->send(rpc::error(m.id, rpc::kNotTaken, "too many open queries on this connection"));
             return;
         }
-        open_.insert(m.id);
-        const std::string why = callers_.owner_.asked(id_, m.id, std::get<rpc::Ask>(read), listener_);
-        if (why.empty()) return;
-        open_.erase(m.id);
-        link_->send(rpc::error(m.id, rpc::kNotTaken, "not taken", {{"reason", why}}));
+        open_requests_.insert(m.id);
+        const std::string refusal =
+            parent_.owner_.request_received(id_, m.id, std::get<rpc::Ask>(params), listener_);
+        if (refusal.empty()) return;
+        open_requests_.erase(m.id);
+        transport_->send(rpc::error(m.id, rpc::kNotTaken, "not taken", {{"reason", refusal}}));
     } else {
-        bad(m.id, rpc::kMethodNotFound,
-            "unknown method " + m.method.substr(0, 80) +
-                "; known are generate, gateway/status, initialize, ping");
+        report_bad_message(m.id, rpc::kMethodNotFound,
+                           "unknown method " + m.method.substr(0, 80) +
+                               "; known are generate, gateway/status, initialize, ping");
     }
 }
 
-Callers::Callers(Loop& loop, const Bounds& bounds, std::string gateway, Owner& owner, Log& log)
-    : loop_(loop), bounds_(bounds), gateway_(std::move(gateway)), owner_(owner), log_(log) {}
+RpcClientConnections::RpcClientConnections(Loop& loop, const Bounds& bounds, std::string gateway_name,
+                                           Owner& owner, Log& log)
+    : loop_(loop), bounds_(bounds), gateway_name_(std::move(gateway_name)), owner_(owner), log_(log) {}
 
-Callers::~Callers() = default;
+RpcClientConnections::~RpcClientConnections() = default;
 
-void Callers::came(int fd, std::uint32_t listener) {
-    if (sessions_.size() >= bounds_.callers) {
+void RpcClientConnections::add_connection(int fd, std::uint32_t listener) {
+    if (connections_.size() >= bounds_.max_clients) {
         const std::string line = rpc::error({}, rpc::kNotTaken, "too many callers; come again later") + "\n";
         [[maybe_unused]] const auto written = ::write(fd, line.data(), line.size());
         ::close(fd);
         log_.say(Weight::warn, "callers", "a caller was turned away: too many connections",
-                 {{"bound", static_cast<std::int64_t>(bounds_.callers)}});
+                 {{"bound", static_cast<std::int64_t>(bounds_.max_clients)}});
         return;
     }
-    const CallerId id = next_++;
-    sessions_.emplace(id, std::make_unique<Session>(*this, id, fd, listener));
+    const ClientId id = next_id_++;
+    connections_.emplace(id, std::make_unique<Connection>(*this, id, fd, listener));
 }
 
-void Callers::tokens(CallerId caller, const rpc::Id& id, std::string_view text) {
-    if (const auto it = sessions_.find(caller); it != sessions_.end()) it->second->tokens(id, text);
+void RpcClientConnections::tokens(ClientId client, const rpc::Id& id, std::string_view text) {
+    if (const auto it = connections_.find(client); it != connections_.end()) it->second->tokens(id, text);
 }
 
-void Callers::answer(CallerId caller, const rpc::Id& id, const std::string& line) {
-    if (const auto it = sessions_.find(caller); it != sessions_.end()) it->second->answer(id, line);
+void RpcClientConnections::answer(ClientId client, const rpc::Id& id, const std::string& line) {
+    if (const auto it = connections_.find(client); it != connections_.end()) it->second->answer(id, line);
 }
 
-void Callers::drop(Session& session, const std::string& why) {
-    const auto it = sessions_.find(session.id());
-    if (it == sessions_.end()) return;
-    std::unique_ptr<Session> buried = std::move(it->second);
-    sessions_.erase(it);
-    Link::hand_off(loop_, session.take_link(), true);
-    const std::set<rpc::Id> open = session.open();
-    const CallerId id = session.id();
-    loop_.bury(std::move(buried));
-    log_.say(Weight::debug, "callers", "a caller's connection has closed",
+void RpcClientConnections::drop(Connection& connection, const std::string& why) {
+    const auto it = connections_.find(connection.id());
+    if (it == connections_.end()) return;
+    std::unique_ptr<Connection> closed = std::move(it->second);
+    connections_.erase(it);
+    Link::hand_off(loop_, connection.take_transport(), true);
+    const std::set<rpc::Id> open_requests = connection.open_requests();
+    const ClientId id = connection.id();
+    loop_.bury(std::move(closed));
+    log_.say(Weight::debug, "callers", "client connection closed",
              {{"caller", static_cast<std::int64_t>(id)},
               {"why", why},
-              {"queries_left", static_cast<std::int64_t>(open.size())}});
-    for (const rpc::Id& query : open) owner_.left(id, query);
+              {"queries_left", static_cast<std::int64_t>(open_requests.size())}});
+    for (const rpc::Id& request_id : open_requests) owner_.client_left(id, request_id);
 }
 
-void Callers::close_all() {
-    std::vector<CallerId> all;
-    for (const auto& [id, session] : sessions_) all.push_back(id);
-    for (const CallerId id : all)
-        if (const auto it = sessions_.find(id); it != sessions_.end()) drop(*it->second, "the gateway stops");
+void RpcClientConnections::close_all() {
+    std::vector<ClientId> all;
+    for (const auto& [id, connection] : connections_) all.push_back(id);
+    for (const ClientId id : all)
+        if (const auto it = connections_.find(id); it != connections_.end())
+            drop(*it->second, "the gateway stops");
 }
 
 }  // namespace copperfront
--- a/src/gateway/callers.h
+++ b/src/gateway/callers.h
@@ -1,5 +1,5 @@
-// Connections of callers: what they ask, and the final answer that each query gets. A caller that breaks off,
-// or that breaks the protocol, costs nobody else anything.
+// JSON-RPC connections of clients: their requests, and the one final answer that each accepted request gets.
+// A client that disconnects or violates the protocol does not affect other clients.
 #pragma once
 
 #include <cstdint>
@@ -15,47 +15,48 @@
 
 namespace copperfront {
 
-using CallerId = std::uint64_t;  // of a connection; never used twice
+using ClientId = std::uint64_t;  // id of a client connection; never reused
 
-class Callers {
+class RpcClientConnections {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // Empty: taken, and owed one final answer under this id. Else why it is not.
-        virtual std::string asked(CallerId caller, const rpc::Id& id, const rpc::Ask& ask,
-                                  std::uint32_t listener) = 0;
-        // What is told of the gateway to whoever asks.
+        // Returns an empty string if the request is accepted; it then gets one final answer under this id.
+        // Otherwise returns the reason for the refusal.
+        virtual std::string request_received(ClientId client, const rpc::Id& id, const rpc::Ask& params,
+                                             std::uint32_t listener) = 0;
+        // Answer of the status call.
         virtual rpc::Json status() const = 0;
-        // The query left: it was cancelled, or its caller's connection closed.
-        virtual void left(CallerId caller, const rpc::Id& id) = 0;
+        // The client cancelled the request or its connection closed; no answer is due any more.
+        virtual void client_left(ClientId client, const rpc::Id& id) = 0;
     };
 
-    Callers(Loop& loop, const Bounds& bounds, std::string gateway, Owner& owner, Log& log);
-    ~Callers();
-
-    // `listener`: where it came in.
-    void came(int fd, std::uint32_t listener);
-    // Holds for what comes from now on; nobody who is there is sent away.
-    void change(const Bounds& bounds) { bounds_ = bounds; }
-    // Tokens and final answers for a query that was taken. A caller that has gone is passed over.
-    void tokens(CallerId caller, const rpc::Id& id, std::string_view text);
-    void answer(CallerId caller, const rpc::Id& id, const std::string& line);
-    // Closes all connections, the last lines first.
+    RpcClientConnections(Loop& loop, const Bounds& bounds, std::string gateway_name, Owner& owner, Log& log);
+    ~RpcClientConnections();
+
+    // `listener`: index of the listener that accepted the connection.
+    void add_connection(int fd, std::uint32_t listener);
+    // Applies from now on; open connections beyond a lower client limit are not closed.
+    void set_bounds(const Bounds& bounds) { bounds_ = bounds; }
+    // Tokens and final answers for an accepted request. Ignored if the client has disconnected.
+    void tokens(ClientId client, const rpc::Id& id, std::string_view text);
+    void answer(ClientId client, const rpc::Id& id, const std::string& line);
+    // Closes all connections after their last lines are sent.
     void close_all();
-    std::size_t size() const { return sessions_.size(); }
+    std::size_t size() const { return connections_.size(); }
 
   private:
-    class Session;
-    void drop(Session& session, const std::string& why);
+    class Connection;
+    void drop(Connection& connection, const std::string& why);
 
     Loop& loop_;
     Bounds bounds_;
-    const std::string gateway_;
+    const std::string gateway_name_;
     Owner& owner_;
     Log& log_;
-    CallerId next_ = 1;
-    std::unordered_map<CallerId, std::unique_ptr<Session>> sessions_;
+    ClientId next_id_ = 1;
+    std::unordered_map<ClientId, std::unique_ptr<Connection>> connections_;
 };
 
 }  // namespace copperfront
--- a/src/gateway/engines.cpp
+++ b/src/gateway/engines.cpp
@@ -5,152 +5,154 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kMostOwed = 10000;  // releases kept for one engine that cannot be reached
-// An engine lets go by itself of what a gateway holds that it has not heard of for some seconds
-// (docs/protocol.md), so older releases are of no use.
-constexpr Span kOwedFor{10000000};
+constexpr std::size_t kMaxOwedReleases = 10000;  // releases kept for one unreachable server
+// A server drops the states of a gateway that it has not heard from for some seconds (docs/protocol.md), so
+// older releases are useless.
+constexpr Span kOwedReleaseLifetime{10000000};
 
 }  // namespace
 
-struct Engines::Door {
+struct ServerConnections::Endpoint {
     ServerIndex server = 0;
     std::string name;
     Address address;
-    std::vector<std::unique_ptr<Line>> lines;
-    std::deque<std::pair<Instant, std::string>> owed;  // releases that wait for a link
-    std::unique_ptr<Timer> again;
-    bool is_gone = false;
+    std::vector<std::unique_ptr<Connection>> connections;
+    std::deque<std::pair<Instant, std::string>> owed_releases;  // releases that wait for a connection
+    std::unique_ptr<Timer> retry_timer;
+    bool removed = false;
 };
 
-class Engines::Line : public Link::Owner {
+class ServerConnections::Connection : public Link::Owner {
   public:
-    enum class State { dialing, greeting, open };
+    enum class State { connecting, initializing, open };
 
-    Line(Engines& pool, Door& door)
+    Connection(ServerConnections& pool, Endpoint& endpoint)
         : pool_(pool),
-          door_(door),
-          patience_(pool.loop_, [this] { pool_.drop(*this, Closing::not_made, "not made in time"); }),
-          watch_(pool.loop_, [this] { look(); }) {
-        link_ =
-            Link::dial(pool.loop_, door.address, {pool.bounds_.line_bytes, pool.bounds_.unsent_bytes}, *this);
-        patience_.set(pool.bounds_.connect_timeout);
-        heard_ = used_ = pool.loop_.now();
+          endpoint_(endpoint),
+          connect_timer_(pool.loop_, [this] { pool_.drop(*this, Closing::not_made, "connect timeout"); }),
+          health_timer_(pool.loop_, [this] { check_health(); }) {
+        transport_ = Link::dial(pool.loop_, endpoint.address,
+                                {pool.bounds_.max_line_bytes, pool.bounds_.max_unsent_bytes}, *this);
+        connect_timer_.set(pool.bounds_.connect_timeout);
+        last_received_ = last_used_ = pool.loop_.now();
     }
 
     bool open() const { return state_ == State::open; }
-    std::size_t load() const { return attempts_.size(); }
+    std::size_t attempt_count() const { return attempts_.size(); }
 
-    void forget(AttemptId attempt) {
+    void remove_attempt(AttemptId attempt) {
         attempts_.erase(attempt);
-        used_ = pool_.loop_.now();
+        last_used_ = pool_.loop_.now();
     }
-    // Attempts still waiting to be sent can be called off without a word.
+    // Removes an attempt that still waits to be sent; the server never hears of it.
     bool unsend(AttemptId attempt) {
         if (open()) return false;
         const auto it =
-            std::find_if(waiting_.begin(), waiting_.end(), [&](const auto& w) { return w.first == attempt; });
-        if (it == waiting_.end()) return false;
-        waiting_.erase(it);
+            std::find_if(unsent_.begin(), unsent_.end(), [&](const auto& w) { return w.first == attempt; });
+        if (it == unsent_.end()) return false;
+        unsent_.erase(it);
         return true;
     }
-    void say(std::string line) {
+    void send(std::string line) {
         if (open())
-            link_->send(line);
+            transport_->send(line);
         else
-            waiting_.emplace_back(0, std::move(line));
+            unsent_.emplace_back(0, std::move(line));
     }
-    void queue(AttemptId attempt, std::string line) {
+    void send_attempt(AttemptId attempt, std::string line) {
         attempts_.insert(attempt);
-        used_ = pool_.loop_.now();
+        last_used_ = pool_.loop_.now();
         if (open()) {
-            // What was silent because nothing was asked of it is not silent yet.
-            if (attempts_.size() == 1) heard_ = used_;
-            link_->send(line);
+            // A connection without attempts is silent legitimately; its silence counts from here.
+            if (attempts_.size() == 1) last_received_ = last_used_;
+            transport_->send(line);
         } else {
-            waiting_.emplace_back(attempt, std::move(line));
+            unsent_.emplace_back(attempt, std::move(line));
         }
     }
     void probe(std::int64_t number) {
         probes_.insert(number);
-        used_ = pool_.loop_.now();
-        say(rpc::call(rpc::Id{"probe-" + std::to_string(number)}, rpc::kProbe, rpc::Json::object()));
+        last_used_ = pool_.loop_.now();
+        send(rpc::call(rpc::Id{"probe-" + std::to_string(number)}, rpc::kProbe, rpc::Json::object()));
     }
 
-    void link_made(Link& link) override {
-        state_ = State::greeting;
-        link.send(rpc::hello_line(rpc::Id{std::string("hello")}, pool_.hello_));
+    void link_made(Link& connection) override {
+        state_ = State::initializing;
+        connection.send(rpc::hello_line(rpc::Id{std::string("hello")}, pool_.hello_));
     }
 
     void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing why, const std::string& what) override { pool_.drop(*this, why, what); }
+    void link_closed(Link&, Closing reason, const std::string& what) override {
+        pool_.drop(*this, reason, what);
+    }
 
-    // Every attempt on it, in the order in which they were made.
+    // All attempts on this connection, in the order in which they were made.
     std::vector<AttemptId> attempts() const {
         std::vector<AttemptId> all(attempts_.begin(), attempts_.end());
         std::sort(all.begin(), all.end());
         return all;
     }
     std::size_t probes() const { return probes_.size(); }
-    Door& door() { return door_; }
-    std::unique_ptr<Link> take_link() {
-        patience_.off();
-        watch_.off();
-        return std::move(link_);
+    Endpoint& endpoint() { return endpoint_; }
+    std::unique_ptr<Link> take_transport() {
+        connect_timer_.off();
+        health_timer_.off();
+        return std::move(transport_);
     }
 
   private:
-    void look() {
+    void check_health() {
         const Instant now = pool_.loop_.now();
         const Bounds& b = pool_.bounds_;
         if (attempts_.empty() && probes_.empty()) {
-            if (now - used_ >= b.idle_link) return pool_.drop(*this, Closing::peer_ended, "idle");
-        } else if (now - heard_ >= b.engine_silence) {
-            return pool_.drop(*this, Closing::broken, "silent with launches out");
-        } else if (now - heard_ >= b.ping_after) {
-            link_->send(rpc::call(rpc::Id{std::string("ping")}, rpc::kPing, rpc::Json::object()));
+            if (now - last_used_ >= b.connection_idle_timeout)
+                return pool_.drop(*this, Closing::peer_ended, "idle");
+        } else if (now - last_received_ >= b.server_silence_timeout) {
+            return pool_.drop(*this, Closing::broken, "silent with attempts in flight");
+        } else if (now - last_received_ >= b.ping_after) {
+            transport_->send(rpc::call(rpc::Id{std::string("ping")}, rpc::kPing, rpc::Json::object()));
         }
-        watch_.set(std::min(b.idle_link, b.ping_after) * 0.5);
+        health_timer_.set(std::min(b.connection_idle_timeout, b.ping_after) * 0.5);
     }
-    bool bad(const std::string& what) {
+    bool count_bad_message(const std::string& what) {
         pool_.log_.say(Weight::warn, "engines", "an engine sent a bad message",
-                       {{"server", door_.name}, {"error", what}});
-        if (++bad_ < pool_.bounds_.bad_messages) return false;
+                       {{"server", endpoint_.name}, {"error", what}});
+        if (++bad_message_count_ < pool_.bounds_.max_bad_messages) return false;
         pool_.drop(*this, Closing::broken, "too many bad messages; the last: " + what);
         return true;
     }
 
-    Engines& pool_;
-    Door& door_;
-    std::unique_ptr<Link> link_;
-    State state_ = State::dialing;
-    Timer patience_, watch_;
-    Instant heard_, used_;
+    ServerConnections& pool_;
+    Endpoint& endpoint_;
+    std::unique_ptr<Link> transport_;
+    State state_ = State::connecting;
+    Timer connect_timer_, health_timer_;
+    Instant last_received_, last_used_;
     std::unordered_set<AttemptId> attempts_;
     std::unordered_set<std::int64_t> probes_;
-    std::deque<std::pair<AttemptId, std::string>> waiting_;
-    std::size_t bad_ = 0;
+    std::deque<std::pair<AttemptId, std::string>> unsent_;
+    std::size_t bad_message_count_ = 0;
 };
 
-void Engines::Line::line_came(Link&, std::string_view line) {
-    heard_ = pool_.loop_.now();
+void ServerConnections::Connection::line_came(Link&, std::string_view line) {
+    last_received_ = pool_.loop_.now();
     if (const auto tokens = rpc::plain_tokens(line)) {
         const auto attempt = static_cast<AttemptId>(tokens->id);
         if (attempts_.count(attempt)) pool_.owner_.token_came(attempt, tokens->text);
         return;
     }
     auto parsed = rpc::parse(line);
-    if (const auto* wrong = std::get_if<rpc::BadMessage>(&parsed)) {
-        bad(wrong->text);
+    if (const auto* problem = std::get_if<rpc::BadMessage>(&parsed)) {
+        count_bad_message(problem->text);
         return;
     }
     const auto& m = std::get<rpc::Message>(parsed);
     if (m.sort == rpc::Sort::notice) {
-        if (m.method != rpc::kTokens)
-            return;  // a notice that is not known is passed over, as JSON-RPC has it
+        if (m.method != rpc::kTokens) return;  // unknown notifications are ignored, as JSON-RPC requires
         const auto id = m.body.find("requestId");
         const auto text = m.body.find("text");
         if (id == m.body.end() || !id->is_number_unsigned() || text == m.body.end() || !text->is_string()) {
-            bad("tokens: expected requestId, a number, and text");
+            count_bad_message("tokens: expected requestId, a number, and text");
             return;
         }
         const auto attempt = id->get<AttemptId>();
@@ -159,182 +161,194 @@
     }
     if (m.sort == rpc::Sort::call) {
         if (m.method == rpc::kPing)
-            link_->send(rpc::result(m.id, rpc::Json::object()));
+            transport_->send(rpc::result(m.id, rpc::Json::object()));
         else
-            link_->send(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method));
+            transport_->send(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method));
         return;
     }
-    if (const auto* word = std::get_if<std::string>(&m.id)) {
-        if (*word == "hello" && state_ == State::greeting) {
+    if (const auto* text_id = std::get_if<std::string>(&m.id)) {
+        if (*text_id == "hello" && state_ == State::initializing) {
             if (m.sort == rpc::Sort::error) {
-                pool_.drop(*this, Closing::not_made, "not greeted: " + m.text);
+                pool_.drop(*this, Closing::not_made, "initialize was refused: " + m.text);
                 return;
             }
             state_ = State::open;
-            patience_.off();
-            watch_.set(std::min(pool_.bounds_.idle_link, pool_.bounds_.ping_after) * 0.5);
-            while (!waiting_.empty()) {
-                link_->send(waiting_.front().second);
-                waiting_.pop_front();
+            connect_timer_.off();
+            health_timer_.set(std::min(pool_.bounds_.connection_idle_timeout, pool_.bounds_.ping_after) *
+                              0.5);
+            while (!unsent_.empty()) {
+                transport_->send(unsent_.front().second);
+                unsent_.pop_front();
             }
-            for (const auto& [since, state] : door_.owed) link_->send(rpc::release_line(state));
-            door_.owed.clear();
+            for (const auto& [since, state] : endpoint_.owed_releases)
+                transport_->send(rpc::release_line(state));
+            endpoint_.owed_releases.clear();
             return;
         }
-        if (word->rfind("probe-", 0) == 0) {
-            const std::int64_t number = std::strtoll(word->c_str() + 6, nullptr, 10);
+        if (text_id->rfind("probe-", 0) == 0) {
+            const std::int64_t number = std::strtoll(text_id->c_str() + 6, nullptr, 10);
             if (probes_.erase(number))
-                pool_.owner_.probe_over(door_.server, m.sort == rpc::Sort::result, rpc::read_report(m.body));
+                pool_.owner_.probe_ended(endpoint_.server, m.sort == rpc::Sort::result,
+                                         rpc::read_report(m.body));
             return;
         }
-        if (*word == "ping") return;
-        bad("an answer to nothing that was asked: " + *word);
+        if (*text_id == "ping") return;
+        count_bad_message("a response to an unknown request: " + *text_id);
         return;
     }
     if (std::holds_alternative<std::monostate>(m.id)) {
-        bad("an error without an id: " + m.text);
+        count_bad_message("an error without an id: " + m.text);
         return;
     }
     const auto number = std::get<std::int64_t>(m.id);
     const auto attempt = static_cast<AttemptId>(number);
     if (number <= 0 || !attempts_.count(attempt)) {
-        // An attempt that was called off may have been answered just before; anything else nobody asked for.
-        if (number <= 0 || attempt > pool_.last_) bad("an answer to no launch: " + std::to_string(number));
+        // A cancelled attempt may have been answered just before; any other unknown number was never sent.
+        if (number <= 0 || attempt > pool_.last_attempt_)
+            count_bad_message("a response to an unknown attempt: " + std::to_string(number));
         return;
     }
-    const auto out = pool_.out_.find(attempt);
-    const bool reading = out->second.reading;
-    pool_.out_.erase(out);
+    const auto entry = pool_.in_flight_.find(attempt);
+    const bool is_prefill = entry->second.is_prefill;
+    pool_.in_flight_.erase(entry);
     attempts_.erase(attempt);
-    used_ = heard_;
-    pool_.owner_.attempt_over(attempt, rpc::read_outcome(m, reading), rpc::number_at(m.body, "tokens"),
-                              rpc::text_at(m.body, "text"));
+    last_used_ = last_received_;
+    pool_.owner_.attempt_ended(attempt, rpc::read_outcome(m, is_prefill), rpc::number_at(m.body, "tokens"),
+                               rpc::text_at(m.body, "text"));
 }
 
-Engines::Engines(Loop& loop, const Bounds& bounds, rpc::Hello hello, Owner& owner, Log& log)
+ServerConnections::ServerConnections(Loop& loop, const Bounds& bounds, rpc::Hello hello, Owner& owner,
+                                     Log& log)
     : loop_(loop), bounds_(bounds), hello_(std::move(hello)), owner_(owner), log_(log) {}
 
-Engines::~Engines() = default;
+ServerConnections::~ServerConnections() = default;
 
-void Engines::learn(ServerIndex server, const std::string& address) {
-    if (server >= doors_.size()) doors_.resize(server + 1);
-    if (doors_[server]) {
-        doors_[server]->is_gone = false;
+void ServerConnections::set_address(ServerIndex server, const std::string& address) {
+    if (server >= endpoints_.size()) endpoints_.resize(server + 1);
+    if (endpoints_[server]) {
+        endpoints_[server]->removed = false;
         return;
     }
-    auto door = std::make_unique<Door>();
-    door->server = server;
-    door->name = address;
-    door->address = Address::parse(address);
-    doors_[server] = std::move(door);
+    auto endpoint = std::make_unique<Endpoint>();
+    endpoint->server = server;
+    endpoint->name = address;
+    endpoint->address = Address::parse(address);
+    endpoints_[server] = std::move(endpoint);
 }
 
-void Engines::gone(ServerIndex server) {
-    if (server >= doors_.size() || !doors_[server]) return;
-    doors_[server]->is_gone = true;
-    doors_[server]->owed.clear();
+void ServerConnections::remove_server(ServerIndex server) {
+    if (server >= endpoints_.size() || !endpoints_[server]) return;
+    endpoints_[server]->removed = true;
+    endpoints_[server]->owed_releases.clear();
 }
 
-const std::string& Engines::address(ServerIndex server) const { return doors_.at(server)->name; }
+const std::string& ServerConnections::address(ServerIndex server) const {
+    return endpoints_.at(server)->name;
+}
 
-std::size_t Engines::links() const {
+std::size_t ServerConnections::connection_count() const {
     std::size_t n = 0;
-    for (const auto& door : doors_)
-        if (door) n += door->lines.size();
+    for (const auto& endpoint : endpoints_)
+        if (endpoint) n += endpoint->connections.size();
     return n;
 }
 
-std::size_t Engines::owed() const {
+std::size_t ServerConnections::owed_releases() const {
     std::size_t n = 0;
-    for (const auto& door : doors_)
-        if (door) n += door->owed.size();
+    for (const auto& endpoint : endpoints_)
+        if (endpoint) n += endpoint->owed_releases.size();
     return n;
 }
 
-// An open link with room, else one that is being made, else a new one.
-Engines::Line& Engines::line_for(Door& door) {
-    Line* best = nullptr;
-    for (const auto& line : door.lines) {
-        if (line->load() >= bounds_.streams_a_link) continue;
-        if (!best || (line->open() && !best->open())) best = line.get();
+// Returns an open connection with room, else one that is being opened, else a new one.
+ServerConnections::Connection& ServerConnections::connection_for(Endpoint& endpoint) {
+    Connection* best = nullptr;
+    for (const auto& connection : endpoint.connections) {
+        if (connection->attempt_count() >= bounds_.max_attempts_per_connection) continue;
+        if (!best || (connection->open() && !best->open())) best = connection.get();
     }
     if (best) return *best;
-    door.lines.push_back(std::make_unique<Line>(*this, door));
-    return *door.lines.back();
+    endpoint.connections.push_back(std::make_unique<Connection>(*this, endpoint));
+    return *endpoint.connections.back();
 }
 
-void Engines::send(ServerIndex server, AttemptId attempt, std::string line, bool reading) {
-    Line& to = line_for(*doors_.at(server));
-    last_ = std::max(last_, attempt);
-    out_[attempt] = {&to, reading};
-    to.queue(attempt, std::move(line));
+void ServerConnections::send(ServerIndex server, AttemptId attempt, std::string line, bool is_prefill) {
+    Connection& to = connection_for(*endpoints_.at(server));
+    last_attempt_ = std::max(last_attempt_, attempt);
+    in_flight_[attempt] = {&to, is_prefill};
+    to.send_attempt(attempt, std::move(line));
 }
 
-void Engines::call_off(ServerIndex, AttemptId attempt) {
-    const auto it = out_.find(attempt);
-    if (it == out_.end()) return;
-    Line& line = *it->second.line;
-    out_.erase(it);
-    line.forget(attempt);
-    if (!line.unsend(attempt))
-        line.say(rpc::cancelled_line(rpc::Id{static_cast<std::int64_t>(attempt)}, "called off"));
+void ServerConnections::call_off(ServerIndex, AttemptId attempt) {
+    const auto it = in_flight_.find(attempt);
+    if (it == in_flight_.end()) return;
+    Connection& connection = *it->second.connection;
+    in_flight_.erase(it);
+    connection.remove_attempt(attempt);
+    if (!connection.unsend(attempt))
+        connection.send(rpc::cancelled_line(rpc::Id{static_cast<std::int64_t>(attempt)}, "called off"));
 }
 
-bool Engines::unsend(AttemptId attempt) {
-    const auto it = out_.find(attempt);
-    if (it == out_.end() || !it->second.line->unsend(attempt)) return false;
-    it->second.line->forget(attempt);
-    out_.erase(it);
+bool ServerConnections::unsend(AttemptId attempt) {
+    const auto it = in_flight_.find(attempt);
+    if (it == in_flight_.end() || !it->second.connection->unsend(attempt)) return false;
+    it->second.connection->remove_attempt(attempt);
+    in_flight_.erase(it);
     return true;
 }
 
-void Engines::release(ServerIndex server, const std::string& state) {
-    Door& door = *doors_.at(server);
-    for (const auto& line : door.lines) {
-        if (!line->open()) continue;
-        line->say(rpc::release_line(state));
+void ServerConnections::release(ServerIndex server, const std::string& state) {
+    Endpoint& endpoint = *endpoints_.at(server);
+    for (const auto& connection : endpoint.connections) {
+        if (!connection->open()) continue;
+        connection->send(rpc::release_line(state));
         return;
     }
-    if (door.is_gone) return;
-    if (door.owed.size() >= kMostOwed) door.owed.pop_front();
-    door.owed.emplace_back(loop_.now(), state);
-    if (door.lines.empty()) line_for(door);
+    if (endpoint.removed) return;
+    if (endpoint.owed_releases.size() >= kMaxOwedReleases) endpoint.owed_releases.pop_front();
+    endpoint.owed_releases.emplace_back(loop_.now(), state);
+    if (endpoint.connections.empty()) connection_for(endpoint);
+}
+
+void ServerConnections::probe(ServerIndex server) {
+    connection_for(*endpoints_.at(server)).probe(next_probe_++);
 }
 
-void Engines::probe(ServerIndex server) { line_for(*doors_.at(server)).probe(next_probe_++); }
-
-void Engines::drop(Line& line, Closing why, const std::string& what) {
-    Door& door = line.door();
-    const auto held =
-        std::find_if(door.lines.begin(), door.lines.end(), [&](const auto& l) { return l.get() == &line; });
-    if (held == door.lines.end()) return;
-    // It may be on the call stack.
-    std::unique_ptr<Line> buried = std::move(*held);
-    door.lines.erase(held);
-    Link::hand_off(loop_, line.take_link(), why == Closing::peer_ended);
-    const std::vector<AttemptId> attempts = line.attempts();
-    const std::size_t probes = line.probes();
-    const bool was_open = line.open();
-    loop_.bury(std::move(buried));
+void ServerConnections::drop(Connection& connection, Closing reason, const std::string& what) {
+    Endpoint& endpoint = connection.endpoint();
+    const auto position = std::find_if(endpoint.connections.begin(), endpoint.connections.end(),
+                                       [&](const auto& c) { return c.get() == &connection; });
+    if (position == endpoint.connections.end()) return;
+    // The connection may be on the call stack, so it is deleted later.
+    std::unique_ptr<Connection> closed = std::move(*position);
+    endpoint.connections.erase(position);
+    Link::hand_off(loop_, connection.take_transport(), reason == Closing::peer_ended);
+    const std::vector<AttemptId> attempts = connection.attempts();
+    const std::size_t probes = connection.probes();
+    const bool was_open = connection.open();
+    loop_.bury(std::move(closed));
     if (what != "idle")
-        log_.say(Weight::debug, "engines", "a link to an engine has closed",
-                 {{"server", door.name},
+        log_.say(Weight::debug, "engines", "connection to server closed",
+                 {{"server", endpoint.name},
                   {"error", what},
                   {"launches", static_cast<std::int64_t>(attempts.size())}});
 
     Outcome outcome;
     outcome.ending = was_open ? Ending::broken : Ending::unreachable;
-    for (const AttemptId attempt : attempts) out_.erase(attempt);
-    for (const AttemptId attempt : attempts) owner_.attempt_over(attempt, outcome, 0, "");
-    for (std::size_t n = 0; n < probes; ++n) owner_.probe_over(door.server, false, {});
-
-    while (!door.owed.empty() && loop_.now() - door.owed.front().first > kOwedFor) door.owed.pop_front();
-    if (door.owed.empty() || door.is_gone || !door.lines.empty()) return;
-    if (!door.again)
-        door.again = std::make_unique<Timer>(loop_, [this, &door] {
-            if (door.lines.empty() && !door.owed.empty() && !door.is_gone) line_for(door);
+    for (const AttemptId attempt : attempts) in_flight_.erase(attempt);
+    for (const AttemptId attempt : attempts) owner_.attempt_ended(attempt, outcome, 0, "");
+    for (std::size_t n = 0; n < probes; ++n) owner_.probe_ended(endpoint.server, false, {});
+
+    while (!endpoint.owed_releases.empty() &&
+           loop_.now() - endpoint.owed_releases.front().first > kOwedReleaseLifetime)
+        endpoint.owed_releases.pop_front();
+    if (endpoint.owed_releases.empty() || endpoint.removed || !endpoint.connections.empty()) return;
+    if (!endpoint.retry_timer)
+        endpoint.retry_timer = std::make_unique<Timer>(loop_, [this, &endpoint] {
+            if (endpoint.connections.empty() && !endpoint.owed_releases.empty() && !endpoint.removed)
+                connection_for(endpoint);
         });
-    door.again->set(bounds_.connect_timeout);
+    endpoint.retry_timer->set(bounds_.connect_timeout);
 }
 
 }  // namespace copperfront
--- a/src/gateway/engines.h
+++ b/src/gateway/engines.h
@@ -1,6 +1,6 @@
-// Links to engines: pooled, multiplexed, made when needed and closed when idle. Here an attempt that was
-// never sent (unreachable) is told from one whose link broke under it (it may have run). No decision is taken
-// here.
+// Connections to model servers: pooled, multiplexed, opened when needed and closed when idle. Distinguishes
+// an attempt that was never sent (unreachable) from one whose connection was lost (it may have run). Takes no
+// routing decisions.
 #pragma once
 
 #include <deque>
@@ -18,58 +18,60 @@
 
 namespace copperfront {
 
-class Engines {
+class ServerConnections {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        virtual void attempt_over(AttemptId attempt, const Outcome& outcome, double tokens,
-                                  const std::string& text) = 0;
+        virtual void attempt_ended(AttemptId attempt, const Outcome& outcome, double tokens,
+                                   const std::string& text) = 0;
         virtual void token_came(AttemptId attempt, std::string_view text) = 0;
-        virtual void probe_over(ServerIndex server, bool answered, const LoadReport& report) = 0;
+        virtual void probe_ended(ServerIndex server, bool answered, const LoadReport& report) = 0;
     };
 
-    Engines(Loop& loop, const Bounds& bounds, rpc::Hello hello, Owner& owner, Log& log);
-    ~Engines();
+    ServerConnections(Loop& loop, const Bounds& bounds, rpc::Hello hello, Owner& owner, Log& log);
+    ~ServerConnections();
 
-    // Known from now on, under this address for ever.
-    void learn(ServerIndex server, const std::string& address);
-    // A server that is gone keeps its links until their attempts have ended; nothing is owed to it any more.
-    void gone(ServerIndex server);
+    // Makes a server known; its address never changes afterwards.
+    void set_address(ServerIndex server, const std::string& address);
+    // The connections of a removed server stay until their attempts have ended; releases that it is still
+    // owed are dropped.
+    void remove_server(ServerIndex server);
 
-    // The owner is told of the attempt's end, never from within these calls.
-    void send(ServerIndex server, AttemptId attempt, std::string line, bool reading);
+    // The owner is notified when the attempt ends, but never from within these calls.
+    void send(ServerIndex server, AttemptId attempt, std::string line, bool is_prefill);
     void call_off(ServerIndex server, AttemptId attempt);
-    // True, and the owner is not told of its end: the attempt still waited for its link and was never sent.
+    // Returns true if the attempt still waited for its connection and was never sent; the owner is then not
+    // notified of its end.
     bool unsend(AttemptId attempt);
     void release(ServerIndex server, const std::string& state);
     void probe(ServerIndex server);
 
-    // Holds for links that are made from now on, and for the watch over all.
-    void change(const Bounds& bounds) { bounds_ = bounds; }
+    // Applies to new connections and to the health checks of all connections.
+    void set_bounds(const Bounds& bounds) { bounds_ = bounds; }
     const std::string& address(ServerIndex server) const;
-    std::size_t links() const;
-    // Releases that wait for a link, so that a stop can wait for them.
-    std::size_t owed() const;
+    std::size_t connection_count() const;
+    // Number of releases that wait for a connection; a shutdown waits for them.
+    std::size_t owed_releases() const;
 
   private:
-    class Line;
-    struct Door;
-    Line& line_for(Door& door);
-    void drop(Line& line, Closing why, const std::string& what);
+    class Connection;
+    struct Endpoint;
+    Connection& connection_for(Endpoint& endpoint);
+    void drop(Connection& connection, Closing reason, const std::string& what);
 
     Loop& loop_;
     Bounds bounds_;
     const rpc::Hello hello_;
     Owner& owner_;
     Log& log_;
-    std::vector<std::unique_ptr<Door>> doors_;
-    struct Out {
-        Line* line = nullptr;
-        bool reading = false;
+    std::vector<std::unique_ptr<Endpoint>> endpoints_;
+    struct InFlight {
+        Connection* connection = nullptr;
+        bool is_prefill = false;
     };
-    std::unordered_map<AttemptId, Out> out_;
-    AttemptId last_ = 0;
+    std::unordered_map<AttemptId, InFlight> in_flight_;
+    AttemptId last_attempt_ = 0;
     std::int64_t next_probe_ = 1;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -8,20 +8,21 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kMostRoutesTold = 1000;
-constexpr Span kLookForEnd{20000};
-constexpr Span kLookForRead{20000};
-constexpr Span kLastWords{200000};  // for callers to take their last answers
-
-// A name for this run of the process: what an earlier run left at engines can't be mistaken for ours.
-std::string life_of(Instant start, std::uint32_t seed) {
+constexpr std::size_t kMaxRoutesInStatus = 1000;
+constexpr Span kShutdownPollInterval{20000};
+constexpr Span kReloadPollInterval{20000};
+constexpr Span kFinalFlushTime{200000};  // for clients to receive their last answers
+
+// Identifies this run of the process, so that states that an earlier run left at servers are not taken for
+// its own.
+std::string make_instance_id(Instant start, std::uint32_t seed) {
     char text[40];
     std::snprintf(text, sizeof text, "%llx%04x", static_cast<unsigned long long>(start.us / 1000),
                   seed & 0xffffu);
     return text;
 }
 
-bool alike(const Category& a, const Category& b) {
+bool equal(const Category& a, const Category& b) {
     return a.effect == b.effect && a.group == b.group && a.window == b.window &&
            a.latency_goal == b.latency_goal && a.goal_per_thousand == b.goal_per_thousand &&
            a.token_gap == b.token_gap && a.stream == b.stream;
@@ -34,214 +35,223 @@
     : loop_(loop),
       terms_(terms),
       log_(log),
-      life_(life_of(loop.now(), seed)),
-      wake_(loop, [this] { desk_->time_came(); }),
-      stop_timer_(loop, [this] { look_for_end(); }),
-      read_timer_(loop, [this] { look_for_read(); }) {
-    const rpc::Hello hello{terms_.name, terms_.zone, life_};
-    callers_ =
-        std::make_unique<Callers>(loop, terms_.bounds, terms_.name, static_cast<Callers::Owner&>(*this), log);
-    engines_ =
-        std::make_unique<Engines>(loop, terms_.bounds, hello, static_cast<Engines::Owner&>(*this), log);
-    roster_ = std::make_unique<RosterFeed>(
+      instance_id_(make_instance_id(loop.now(), seed)),
+      wakeup_timer_(loop, [this] { desk_->time_came(); }),
+      stop_timer_(loop, [this] { continue_shutdown(); }),
+      reload_timer_(loop, [this] { poll_reload(); }) {
+    const rpc::Hello hello{terms_.name, terms_.zone, instance_id_};
+    client_connections_ = std::make_unique<RpcClientConnections>(
+        loop, terms_.bounds, terms_.name, static_cast<RpcClientConnections::Owner&>(*this), log);
+    server_connections_ = std::make_unique<ServerConnections>(
+        loop, terms_.bounds, hello, static_cast<ServerConnections::Owner&>(*this), log);
+    roster_ = std::make_unique<RosterClient>(
         loop, terms_, hello,
-        [this](const std::vector<rpc::RosterEntry>& entries, bool whole, bool stale) {
-            list_told(entries, whole, stale);
+        [this](const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale) {
+            list_told(entries, is_snapshot, stale);
         },
         [this] { desk_->list_missed(); }, log);
     Outside& outside = *this;
-    changed_ = loop.now();
-    const Terms core = adopt(terms_);
+    terms_changed_at_ = loop.now();
+    const Terms core = to_core_terms(terms_);
     if (!terms_.trace.folder.empty())
-        trace_ = std::make_unique<TraceFeed>(loop, log, terms_, life_, servers_);
+        trace_ = std::make_unique<TraceObserver>(loop, log, terms_, instance_id_, servers_);
     desk_ = make_desk ? make_desk(core, outside, seed) : std::make_unique<Desk>(core, outside, seed);
     desk_->limits_changed(route_limits(), core.gateways);
     desk_->watched_by(trace_.get());
-    desk_->parts_are_learned(terms_.learned_parts);
+    desk_->parts_are_learned(terms_.learned_shares);
     if (terms_.core.peers)
-        peers_ = std::make_unique<Peers>(loop, Address::parse(terms_.peer_listen), terms_.peers,
-                                         [this](std::string_view note) { desk_->peer_told(note); });
+        peers_ = std::make_unique<PeerNotes>(loop, Address::parse(terms_.peer_listen), terms_.peers,
+                                             [this](std::string_view note) { desk_->peer_told(note); });
     roster_->start();
     for (std::uint32_t n = 0; n < terms_.listener_addresses.size(); ++n) {
-        listeners_.push_back(std::make_unique<Listener>(loop, Address::parse(terms_.listener_addresses[n]),
-                                                        [this, n](int fd) { callers_->came(fd, n); }));
+        listeners_.push_back(
+            std::make_unique<Listener>(loop, Address::parse(terms_.listener_addresses[n]),
+                                       [this, n](int fd) { client_connections_->add_connection(fd, n); }));
         listeners_.back()->on_trouble = [this](const std::string& what) {
             log_.say(Weight::error, "callers", "cannot accept connections for a moment", {{"error", what}});
         };
     }
-    log_.say(
-        Weight::info, "gateway", "started",
-        {{"gateway", terms_.name}, {"zone", terms_.zone}, {"address", address().text()}, {"life", life_}});
+    log_.say(Weight::info, "gateway", "started",
+             {{"gateway", terms_.name},
+              {"zone", terms_.zone},
+              {"address", address().text()},
+              {"life", instance_id_}});
 }
 
 Gateway::~Gateway() = default;
 
 // ---- terms
 
-// The file's names in the module's indices. A category that changes gets a new one, or its old one again
-// where it changes back.
-Terms Gateway::adopt(const GatewayTerms& terms) {
+// Maps the names of the file to the indices of the router. A changed category gets a new index, or its old
+// one if it changes back.
+Terms Gateway::to_core_terms(const GatewayTerms& terms) {
     Terms core = terms.core;
-    category_now_.clear();
+    category_index_.clear();
     for (std::uint32_t c = 0; c < terms.core.categories.size(); ++c) {
         const std::string& name = terms.categories.name(c);
         const Category& category = terms.core.categories[c];
-        std::size_t at = 0;
-        while (at < categories_.size() && !(category_names_[at] == name && alike(categories_[at], category)))
-            ++at;
-        if (at == categories_.size()) {
+        std::size_t index = 0;
+        while (index < categories_.size() &&
+               !(category_names_[index] == name && equal(categories_[index], category)))
+            ++index;
+        if (index == categories_.size()) {
             categories_.push_back(category);
             category_names_.push_back(name);
         }
-        category_now_.push_back(static_cast<std::uint16_t>(at));
+        category_index_.push_back(static_cast<std::uint16_t>(index));
     }
     core.categories = categories_;
-    group_now_.clear();
-    std::vector<double> quotas(groups_.size(), 0);  // a group that is gone has no share
+    client_group_index_.clear();
+    std::vector<double> quotas(groups_.size(), 0);  // a removed group has no quota
     for (std::uint32_t g = 0; g < terms.core.quotas.size(); ++g) {
-        const std::uint32_t at = groups_.index(terms.client_groups.name(g));
+        const std::uint32_t index = groups_.index(terms.client_groups.name(g));
         quotas.resize(groups_.size(), 0);
-        quotas[at] = terms.core.quotas[g];
-        group_now_.push_back(static_cast<std::int32_t>(at));
+        quotas[index] = terms.core.quotas[g];
+        client_group_index_.push_back(static_cast<std::int32_t>(index));
     }
     core.quotas = quotas;
-    route_now_.clear();
-    for (const RouteTerms& r : terms.routes) route_now_.push_back(routes_.index(r.name));
+    route_index_.clear();
+    for (const RouteTerms& r : terms.routes) route_index_.push_back(routes_.index(r.name));
     return core;
 }
 
-// By RouteIndex; a route that is gone takes nothing more and drains.
+// By RouteIndex. A removed route accepts no new requests and drains.
 std::vector<RouteLimits> Gateway::route_limits() const {
-    RouteLimits gone;
-    gone.closed = true;
-    std::vector<RouteLimits> limits(routes_.size(), gone);
+    RouteLimits removed_route;
+    removed_route.closed = true;
+    std::vector<RouteLimits> limits(routes_.size(), removed_route);
     for (std::size_t place = 0; place < terms_.routes.size(); ++place)
-        limits[route_now_[place]] = terms_.routes[place].limits;
+        limits[route_index_[place]] = terms_.routes[place].limits;
     return limits;
 }
 
-bool Gateway::change(GatewayTerms terms, std::vector<Fault>& faults) {
-    const auto fixed = [&](const char* path, bool changed) {
+bool Gateway::change_terms(GatewayTerms terms, std::vector<Fault>& diagnostics) {
+    const auto must_not_change = [&](const char* path, bool changed) {
         if (changed)
-            faults.push_back({0, path, "cannot change while the gateway runs; start it anew for that"});
+            diagnostics.push_back(
+                {0, path, "cannot change while the gateway runs; restart the gateway to change it"});
     };
-    const auto kept = [](const Names& now, const Names& then) {
-        bool same = now.size() >= then.size();
-        for (std::uint32_t n = 0; same && n < then.size(); ++n) same = now.name(n) == then.name(n);
+    const auto keeps_indices = [](const Names& now, const Names& before) {
+        bool same = now.size() >= before.size();
+        for (std::uint32_t n = 0; same && n < before.size(); ++n) same = now.name(n) == before.name(n);
         return same;
     };
-    fixed("gateway / name", terms.name != terms_.name);
-    fixed("gateway / zone", terms.zone != terms_.zone);
-    fixed("gateway / roster", terms.roster != terms_.roster);
-    fixed("gateway / state-folder", terms.state_folder != terms_.state_folder);
-    fixed("trace / folder", terms.trace.folder != terms_.trace.folder);
-    fixed("listener", terms.listener_addresses != terms_.listener_addresses);
-    fixed("zone", !kept(terms.zones, terms_.zones) || terms.zones.size() != terms_.zones.size());
-    bool kinds = kept(terms.kinds, terms_.kinds);
+    must_not_change("gateway / name", terms.name != terms_.name);
+    must_not_change("gateway / zone", terms.zone != terms_.zone);
+    must_not_change("gateway / roster", terms.roster != terms_.roster);
+    must_not_change("gateway / state-folder", terms.state_folder != terms_.state_folder);
+    must_not_change("trace / folder", terms.trace.folder != terms_.trace.folder);
+    must_not_change("listener", terms.listener_addresses != terms_.listener_addresses);
+    must_not_change("zone",
+                    !keeps_indices(terms.zones, terms_.zones) || terms.zones.size() != terms_.zones.size());
+    bool kinds = keeps_indices(terms.kinds, terms_.kinds);
     for (std::uint32_t k = 0; kinds && k < terms_.kinds.size(); ++k)
         kinds = terms.core.kinds[k].role == terms_.core.kinds[k].role;
-    fixed("kind", !kinds);
-    fixed("allow / peers", terms.core.peers != terms_.core.peers || terms.peers != terms_.peers ||
-                               terms.peer_listen != terms_.peer_listen);
-    // Notes name categories by their place, which has to be the same at all gateways.
-    bool categories =
-        kept(terms.categories, terms_.categories) && terms.categories.size() == terms_.categories.size();
+    must_not_change("kind", !kinds);
+    must_not_change("allow / peers", terms.core.peers != terms_.core.peers || terms.peers != terms_.peers ||
+                                         terms.peer_listen != terms_.peer_listen);
+    // Peer notes refer to categories by their index, which must be the same at all gateways.
+    bool categories = keeps_indices(terms.categories, terms_.categories) &&
+                      terms.categories.size() == terms_.categories.size();
     for (std::uint32_t c = 0; categories && c < terms_.core.categories.size(); ++c)
-        categories = alike(terms.core.categories[c], terms_.core.categories[c]);
-    fixed("category", terms_.core.peers && !categories);
-    fixed("allow / ask-for-list", terms.core.ask_for_list != terms_.core.ask_for_list);
-    if (!faults.empty()) return false;
-    const Terms core = adopt(terms);
+        categories = equal(terms.core.categories[c], terms_.core.categories[c]);
+    must_not_change("category", terms_.core.peers && !categories);
+    must_not_change("allow / ask-for-list", terms.core.ask_for_list != terms_.core.ask_for_list);
+    if (!diagnostics.empty()) return false;
+    const Terms core = to_core_terms(terms);
     terms_ = std::move(terms);
     ++generation_;
-    changed_ = loop_.now();
-    callers_->change(terms_.bounds);
-    engines_->change(terms_.bounds);
+    terms_changed_at_ = loop_.now();
+    client_connections_->set_bounds(terms_.bounds);
+    server_connections_->set_bounds(terms_.bounds);
     log_.set_level(terms_.logging.level);
-    if (desk_->watching()) log_.say(Weight::warn, "gateway", "watching ends, as the terms have changed");
+    if (desk_->watching())
+        log_.say(Weight::warn, "gateway", "shadow evaluation ends because the terms have changed");
     desk_->terms_changed(core, route_limits());
-    desk_->parts_are_learned(terms_.learned_parts);
+    desk_->parts_are_learned(terms_.learned_shares);
     return true;
 }
 
-bool Gateway::watch(const GatewayTerms& other, std::vector<Fault>& faults, std::uint32_t seed) {
+bool Gateway::watch(const GatewayTerms& other, std::vector<Fault>& diagnostics, std::uint32_t seed) {
     const auto same = [&](const char* form, const Names& a, const Names& b) {
-        bool alike = a.size() == b.size();
-        for (std::uint32_t n = 0; alike && n < a.size(); ++n) alike = a.name(n) == b.name(n);
-        if (!alike)
-            faults.push_back(
-                {0, form, "must be named alike and in the same order in both files to be compared"});
+        bool equal_names = a.size() == b.size();
+        for (std::uint32_t n = 0; equal_names && n < a.size(); ++n) equal_names = a.name(n) == b.name(n);
+        if (!equal_names)
+            diagnostics.push_back({0, form, "must have the same names in the same order in both files"});
     };
     if (generation_ != 1)
-        faults.push_back(
-            {0, "", "this gateway's terms have changed since its start; start it anew to watch"});
+        diagnostics.push_back(
+            {0, "",
+             "the terms of this gateway have changed since its start; restart it for shadow evaluation"});
     same("zone", other.zones, terms_.zones);
     same("kind", other.kinds, terms_.kinds);
     same("category", other.categories, terms_.categories);
     same("client-group", other.client_groups, terms_.client_groups);
-    if (!faults.empty()) return false;
+    if (!diagnostics.empty()) return false;
     Terms core = other.core;
     core.zone = terms_.core.zone;
-    core.ask_for_list = false;  // it is told what the desk is told
+    core.ask_for_list = false;  // the shadow evaluation gets the same lists as the dispatcher
     desk_->watch(&core, seed);
-    roster_->tell_again();
-    log_.say(Weight::info, "gateway", "watching what other terms would decide");
+    roster_->replay_list();
+    log_.say(Weight::info, "gateway", "shadow evaluation of other terms started");
     return true;
 }
 
-Gateway::Read Gateway::read(const std::string& path, const Overrides& overrides) {
-    Read read;
-    read.well = read_terms_file(path, overrides, read.terms, read.faults);
-    return read;
+Gateway::LoadedTerms Gateway::load_terms(const std::string& path, const Overrides& overrides) {
+    LoadedTerms loaded;
+    loaded.ok = read_terms_file(path, overrides, loaded.terms, loaded.diagnostics);
+    return loaded;
 }
 
-bool Gateway::take(const std::string& path, Read read) {
-    if (read.well && change(std::move(read.terms), read.faults)) {
-        refused_.clear();
-        if (trace_) trace_->happened(trace::Happening::terms, "", "", static_cast<std::int64_t>(generation_));
+bool Gateway::apply_loaded(const std::string& path, LoadedTerms loaded) {
+    if (loaded.ok && change_terms(std::move(loaded.terms), loaded.diagnostics)) {
+        reload_error_.clear();
+        if (trace_)
+            trace_->record_event(trace::Happening::terms, "", "", static_cast<std::int64_t>(generation_));
         log_.say(Weight::info, "gateway", "new terms hold",
                  {{"generation", static_cast<std::int64_t>(generation_)},
                   {"routes", static_cast<std::int64_t>(terms_.routes.size())}});
         return true;
     }
-    refused_ = text_of(path, read.faults);
+    reload_error_ = text_of(path, loaded.diagnostics);
     log_.say(Weight::error, "gateway", "new terms are refused; the old ones stay",
-             {{"generation", static_cast<std::int64_t>(generation_)}, {"error", refused_}});
+             {{"generation", static_cast<std::int64_t>(generation_)}, {"error", reload_error_}});
     return false;
 }
 
 bool Gateway::reload(const std::string& path, const Overrides& overrides) {
-    return take(path, read(path, overrides));
+    return apply_loaded(path, load_terms(path, overrides));
 }
 
 void Gateway::reload_aside(const std::string& path, const Overrides& overrides) {
-    if (reading_.valid()) {
-        read_again_ = true;
+    if (pending_reload_.valid()) {
+        reload_again_ = true;
         return;
     }
-    reading_path_ = path;
-    reading_overrides_ = overrides;
-    // The thread shares nothing with the loop: it gets copies, and its result is handed over whole. sfsexp
-    // keeps a state of its own for the process, which is why there is one such thread at most.
-    reading_ = std::async(std::launch::async, [path, overrides] { return read(path, overrides); });
-    read_timer_.set(kLookForRead);
-}
-
-void Gateway::look_for_read() {
-    if (reading_.wait_for(std::chrono::seconds(0)) != std::future_status::ready) {
-        read_timer_.set(kLookForRead);
+    reload_path_ = path;
+    reload_overrides_ = overrides;
+    // The thread shares no data with the loop: it gets copies, and its result is taken over when it is
+    // complete. sfsexp keeps process-wide state, so there is at most one such thread.
+    pending_reload_ =
+        std::async(std::launch::async, [path, overrides] { return load_terms(path, overrides); });
+    reload_timer_.set(kReloadPollInterval);
+}
+
+void Gateway::poll_reload() {
+    if (pending_reload_.wait_for(std::chrono::seconds(0)) != std::future_status::ready) {
+        reload_timer_.set(kReloadPollInterval);
         return;
     }
-    take(reading_path_, reading_.get());
-    if (!std::exchange(read_again_, false)) return;
-    const std::string path = reading_path_;
-    reload_aside(path, Overrides(reading_overrides_));
+    apply_loaded(reload_path_, pending_reload_.get());
+    if (!std::exchange(reload_again_, false)) return;
+    const std::string path = reload_path_;
+    reload_aside(path, Overrides(reload_overrides_));
 }
 
 rpc::Json Gateway::status() const {
     const Tally& t = desk_->tally();
     rpc::Json routes = rpc::Json::array();
-    for (std::uint32_t r = 0; r < routes_.size() && routes.size() < kMostRoutesTold; ++r) {
+    for (std::uint32_t r = 0; r < routes_.size() && routes.size() < kMaxRoutesInStatus; ++r) {
         const RouteCounts c = desk_->admission().counts(r);
         if (c.taken == 0 && c.refused == 0) continue;
         rpc::Json row = {{"route", routes_.name(r)},
@@ -255,15 +265,15 @@
         routes.push_back(std::move(row));
     }
     return {{"gateway", terms_.name},
-            {"life", life_},
+            {"life", instance_id_},
             {"generation", generation_},
-            {"partOfFleet", terms_.learned_parts ? desk_->part() : 1.0 / terms_.core.gateways},
-            {"termsForS", static_cast<double>((loop_.now() - changed_).us) / 1e6},
-            {"refused", refused_},
+            {"partOfFleet", terms_.learned_shares ? desk_->part() : 1.0 / terms_.core.gateways},
+            {"termsForS", static_cast<double>((loop_.now() - terms_changed_at_).us) / 1e6},
+            {"refused", reload_error_},
             {"stopping", stopping_},
-            {"roster", roster_->live() ? "live" : "lost"},
+            {"roster", roster_->is_synced() ? "live" : "lost"},
             {"servers", roster_->size()},
-            {"callers", callers_->size()},
+            {"callers", client_connections_->size()},
             {"open", desk_->open_queries()},
             {"came", t.came},
             {"settled", t.settled},
@@ -276,17 +286,17 @@
             {"traceWritten", trace_ ? trace_->recorder().written() : 0},
             {"traceDropped", trace_ ? trace_->recorder().dropped() : 0},
             {"routes", routes},
-            {"peers", peers_told()},
-            {"watching", watching_told()}};
+            {"peers", peer_status()},
+            {"watching", shadow_status()}};
 }
 
-rpc::Json Gateway::peers_told() const {
+rpc::Json Gateway::peer_status() const {
     if (!peers_) return nullptr;
-    const Peers::Counts& c = peers_->counts();
-    return {{"told", c.told}, {"heard", c.heard}, {"dropped", c.dropped}};
+    const PeerNotes::Counts& c = peers_->counts();
+    return {{"told", c.sent}, {"heard", c.received}, {"dropped", c.dropped}};
 }
 
-rpc::Json Gateway::watching_told() const {
+rpc::Json Gateway::shadow_status() const {
     if (!desk_->watching()) return nullptr;
     const Differences& d = desk_->watching()->differences();
     return {{"alike", d.alike}, {"reader", d.reader},  {"writer", d.writer},        {"held", d.held},
@@ -294,245 +304,250 @@
             {"notes", d.notes}};
 }
 
-// ---- from callers
+// ---- from clients
 
-std::string Gateway::asked(CallerId caller, const rpc::Id& id, const rpc::Ask& ask, std::uint32_t listener) {
+std::string Gateway::request_received(ClientId client, const rpc::Id& id, const rpc::Ask& params,
+                                      std::uint32_t listener) {
     if (stopping_) return "the gateway stops; ask another";
-    const std::uint32_t* category = terms_.categories.find(ask.category);
-    if (!category) return "unknown category " + ask.category;
-    Arrival a;
-    a.category = category_now_[*category];
-    RouteQuery wanted;
-    wanted.category = *category;
-    wanted.listener = listener;
-    if (!ask.client_group.empty()) {
-        const std::uint32_t* group = terms_.client_groups.find(ask.client_group);
-        if (!group) return "unknown client group " + ask.client_group;
-        a.client_group = group_now_[*group];
-        wanted.client_group = *group;
+    const std::uint32_t* category = terms_.categories.find(params.category);
+    if (!category) return "unknown category " + params.category;
+    Arrival info;
+    info.category = category_index_[*category];
+    RouteQuery route_request;
+    route_request.category = *category;
+    route_request.listener = listener;
+    if (!params.client_group.empty()) {
+        const std::uint32_t* group = terms_.client_groups.find(params.client_group);
+        if (!group) return "unknown client group " + params.client_group;
+        info.client_group = client_group_index_[*group];
+        route_request.client_group = *group;
     }
-    if (desk_->open_queries() >= terms_.bounds.open_queries) return "too many queries in hand";
-    // Attributes that no route asks for are of no interest, and are not kept.
-    for (const std::string& attribute : ask.attributes)
+    if (desk_->open_queries() >= terms_.bounds.max_open_requests) return "too many queries in hand";
+    // Attributes that no route uses as a condition are ignored and not stored.
+    for (const std::string& attribute : params.attributes)
         if (const std::uint32_t* known = terms_.attributes.find(attribute))
-            wanted.attributes.push_back(*known);
-    std::sort(wanted.attributes.begin(), wanted.attributes.end());
-    wanted.prompt_tokens = ask.prompt_tokens;
-    const std::uint32_t place = terms_.table.find(wanted);
-    const RouteTerms& route = terms_.routes[place];
-    a.session = mark(ask.session);
-    a.beginning = mark(ask.beginning);
-    a.prompt_tokens = ask.prompt_tokens;
-    a.beginning_tokens = ask.beginning_tokens;
-    a.most_tokens = ask.most_tokens;
-    a.hint = ask.hint;
-    a.budget = std::min(ask.budget, terms_.hard_stops[*category]);
+            route_request.attributes.push_back(*known);
+    std::sort(route_request.attributes.begin(), route_request.attributes.end());
+    route_request.prompt_tokens = params.prompt_tokens;
+    const std::uint32_t position = terms_.table.find(route_request);
+    const RouteTerms& route = terms_.routes[position];
+    info.session = mark(params.session);
+    info.beginning = mark(params.beginning);
+    info.prompt_tokens = params.prompt_tokens;
+    info.beginning_tokens = params.beginning_tokens;
+    info.most_tokens = params.most_tokens;
+    info.hint = params.hint;
+    info.budget = std::min(params.budget, terms_.deadlines[*category]);
     const QueryIndex query = desk_->open();
-    if (query >= open_.size()) open_.resize(query + 1);
-    Open& open = open_[query];
-    open = {caller,
-            id,
-            ask,
-            terms_.name + "." + life_ + "." + std::to_string(++queries_),
-            0,
-            "",
-            terms_.core.categories[*category].stream};
-    by_call_[{caller, id}] = query;
+    if (query >= open_requests_.size()) open_requests_.resize(query + 1);
+    OpenRequest& open_request = open_requests_[query];
+    open_request = {client,
+                    id,
+                    params,
+                    terms_.name + "." + instance_id_ + "." + std::to_string(++request_count_),
+                    0,
+                    "",
+                    terms_.core.categories[*category].stream};
+    request_by_id_[{client, id}] = query;
     if (log_.writes(Weight::debug))
         log_.say(Weight::debug, "gateway", "query came",
-                 {{"query", open.name},
-                  {"category", ask.category},
-                  {"tokens", ask.prompt_tokens},
+                 {{"query", open_request.name},
+                  {"category", params.category},
+                  {"tokens", params.prompt_tokens},
                   {"route", route.name},
                   {"generation", static_cast<std::int64_t>(generation_)}});
     if (trace_) {
         const Category& c = terms_.core.categories[*category];
-        trace_->came(query, {static_cast<std::int64_t>(queries_), route.name, ask.category, ask.client_group,
-                             a.session, a.beginning, generation_, a.prompt_tokens, a.most_tokens, a.budget,
-                             c.latency_goal + c.goal_per_thousand * (a.prompt_tokens / 1000)});
+        trace_->request_arrived(query, {static_cast<std::int64_t>(request_count_), route.name,
+                                        params.category, params.client_group, info.session, info.beginning,
+                                        generation_, info.prompt_tokens, info.most_tokens, info.budget,
+                                        c.latency_goal + c.goal_per_thousand * (info.prompt_tokens / 1000)});
     }
-    desk_->query_came(query, a, route_now_[place], route.limits, ask.again);
+    desk_->query_came(query, info, route_index_[position], route.limits, params.again);
     return "";
 }
 
-void Gateway::left(CallerId caller, const rpc::Id& id) {
-    const auto it = by_call_.find({caller, id});
-    if (it == by_call_.end()) return;
+void Gateway::client_left(ClientId client, const rpc::Id& id) {
+    const auto it = request_by_id_.find({client, id});
+    if (it == request_by_id_.end()) return;
     const QueryIndex query = it->second;
-    by_call_.erase(it);
-    log_.say(Weight::debug, "gateway", "query left", {{"query", open_[query].name}});
+    request_by_id_.erase(it);
+    log_.say(Weight::debug, "gateway", "query left", {{"query", open_requests_[query].name}});
     desk_->query_left(query);
 }
 
-// ---- to callers
+// ---- to clients
 
-void Gateway::answer(QueryIndex query, const std::string& line, const char* how) {
-    const Open& open = open_[query];
-    by_call_.erase({open.caller, open.id});
-    callers_->answer(open.caller, open.id, final_line(line));
+void Gateway::answer(QueryIndex query, const std::string& line, const char* outcome) {
+    const OpenRequest& open_request = open_requests_[query];
+    request_by_id_.erase({open_request.client, open_request.id});
+    client_connections_->answer(open_request.client, open_request.id, final_line(line));
     if (log_.writes(Weight::debug))
-        log_.say(Weight::debug, "gateway", how, {{"query", open.name}, {"tokens", open.tokens}});
+        log_.say(Weight::debug, "gateway", outcome,
+                 {{"query", open_request.name}, {"tokens", open_request.tokens}});
 }
 
 void Gateway::settled(QueryIndex query) {
-    const Open& open = open_[query];
-    if (open.streams)
-        answer(query, rpc::settled_line(open.id, settled_tokens_), "settled");
+    const OpenRequest& open_request = open_requests_[query];
+    if (open_request.is_streamed)
+        answer(query, rpc::settled_line(open_request.id, answer_tokens_), "settled");
     else
         answer(query,
-               rpc::result(open.id,
-                           {{"tokens", settled_tokens_}, {"text", settled_text_}, {"stopReason", "endTurn"}}),
+               rpc::result(open_request.id,
+                           {{"tokens", answer_tokens_}, {"text", answer_text_}, {"stopReason", "endTurn"}}),
                "settled");
 }
 
 void Gateway::declined(QueryIndex query, Span stay_away, std::string_view why) {
-    answer(query, rpc::declined_line(open_[query].id, why, stay_away), "declined");
+    answer(query, rpc::declined_line(open_requests_[query].id, why, stay_away), "declined");
 }
 
 void Gateway::given_up(QueryIndex query, std::string_view why) {
-    answer(query, rpc::given_up_line(open_[query].id, why), "given up");
+    answer(query, rpc::given_up_line(open_requests_[query].id, why), "given up");
 }
 
-void Gateway::closed(QueryIndex query) { open_[query] = {}; }
+void Gateway::closed(QueryIndex query) { open_requests_[query] = {}; }
 
-// ---- to engines
+// ---- to servers
 
 std::string Gateway::state_name(AttemptId attempt) const {
-    return terms_.name + "." + life_ + "/" + std::to_string(attempt);
+    return terms_.name + "." + instance_id_ + "/" + std::to_string(attempt);
 }
 
-rpc::Order Gateway::order_of(const Open& open, Span limit) const {
-    rpc::Order order;
-    order.query = open.name;
-    order.category = open.ask.category;
-    order.session = open.ask.session;
-    order.beginning = open.ask.beginning;
-    order.mark = open.ask.mark;
-    order.prompt_tokens = open.ask.prompt_tokens;
-    order.beginning_tokens = open.ask.beginning_tokens;
-    order.most_tokens = open.ask.most_tokens;
-    order.limit = limit;
-    order.stream = open.streams;
-    return order;
+rpc::Order Gateway::make_attempt_request(const OpenRequest& open_request, Span limit) const {
+    rpc::Order attempt_request;
+    attempt_request.query = open_request.name;
+    attempt_request.category = open_request.params.category;
+    attempt_request.session = open_request.params.session;
+    attempt_request.beginning = open_request.params.beginning;
+    attempt_request.mark = open_request.params.mark;
+    attempt_request.prompt_tokens = open_request.params.prompt_tokens;
+    attempt_request.beginning_tokens = open_request.params.beginning_tokens;
+    attempt_request.most_tokens = open_request.params.most_tokens;
+    attempt_request.limit = limit;
+    attempt_request.stream = open_request.is_streamed;
+    return attempt_request;
 }
 
 void Gateway::send_read(AttemptId attempt, ServerIndex to, QueryIndex query, Span limit) {
-    rpc::Order order = order_of(open_[query], limit);
-    order.state = state_name(attempt);
-    order.prompt = open_[query].ask.prompt;
+    rpc::Order attempt_request = make_attempt_request(open_requests_[query], limit);
+    attempt_request.state = state_name(attempt);
+    attempt_request.prompt = open_requests_[query].params.prompt;
     const rpc::Id id{static_cast<std::int64_t>(attempt)};
-    engines_->send(to, attempt, rpc::order_line(id, rpc::kRead, order), true);
+    server_connections_->send(to, attempt, rpc::order_line(id, rpc::kRead, attempt_request), true);
     if (log_.writes(Weight::debug))
         log_.say(Weight::debug, "gateway", "launch to read",
-                 {{"query", order.query},
+                 {{"query", attempt_request.query},
                   {"launch", static_cast<std::int64_t>(attempt)},
                   {"server", servers_.name(to)}});
 }
 
 void Gateway::send_write(AttemptId attempt, ServerIndex to, QueryIndex query, AttemptId state,
                          ServerIndex from, Span limit) {
-    const Open& open = open_[query];
-    rpc::Order order = order_of(open, limit);
+    const OpenRequest& open_request = open_requests_[query];
+    rpc::Order attempt_request = make_attempt_request(open_request, limit);
     if (state != 0) {
-        order.state = state_name(state);
-        order.from = engines_->address(from);
+        attempt_request.state = state_name(state);
+        attempt_request.from = server_connections_->address(from);
     } else {
-        order.prompt = open.ask.prompt;
+        attempt_request.prompt = open_request.params.prompt;
     }
     const rpc::Id id{static_cast<std::int64_t>(attempt)};
-    engines_->send(to, attempt, rpc::order_line(id, rpc::kWrite, order), false);
+    server_connections_->send(to, attempt, rpc::order_line(id, rpc::kWrite, attempt_request), false);
     if (log_.writes(Weight::debug))
         log_.say(Weight::debug, "gateway", "launch to write",
-                 {{"query", order.query},
+                 {{"query", attempt_request.query},
                   {"launch", static_cast<std::int64_t>(attempt)},
                   {"server", servers_.name(to)}});
 }
 
-void Gateway::call_off(AttemptId attempt, ServerIndex at) { engines_->call_off(at, attempt); }
+void Gateway::call_off(AttemptId attempt, ServerIndex at) { server_connections_->call_off(at, attempt); }
 
-void Gateway::release(ServerIndex at, AttemptId state) { engines_->release(at, state_name(state)); }
+void Gateway::release(ServerIndex at, AttemptId state) {
+    server_connections_->release(at, state_name(state));
+}
 
-void Gateway::probe(ServerIndex server) { engines_->probe(server); }
+void Gateway::probe(ServerIndex server) { server_connections_->probe(server); }
 
-void Gateway::subscribe() { roster_->ask(); }
+void Gateway::subscribe() { roster_->request_list(); }
 
-// ---- from engines
+// ---- from servers
 
-void Gateway::attempt_over(AttemptId attempt, const Outcome& outcome, double tokens,
-                           const std::string& text) {
-    settled_tokens_ = tokens;
-    settled_text_ = text;
-    if (trace_) trace_->whole_answer(tokens);
+void Gateway::attempt_ended(AttemptId attempt, const Outcome& outcome, double tokens,
+                            const std::string& text) {
+    answer_tokens_ = tokens;
+    answer_text_ = text;
+    if (trace_) trace_->set_answer_tokens(tokens);
     desk_->attempt_ended(attempt, outcome);
 }
 
 void Gateway::token_came(AttemptId attempt, std::string_view text) {
     QueryIndex query = 0;
     if (!desk_->token_came(attempt, query)) return;
-    Open& open = open_[query];
-    open.tokens += 1;
-    callers_->tokens(open.caller, open.id, text);
+    OpenRequest& open_request = open_requests_[query];
+    open_request.tokens += 1;
+    client_connections_->tokens(open_request.client, open_request.id, text);
 }
 
-void Gateway::probe_over(ServerIndex server, bool answered, const LoadReport& report) {
+void Gateway::probe_ended(ServerIndex server, bool answered, const LoadReport& report) {
     desk_->probe_answered(server, answered, report);
 }
 
-// ---- the list
+// ---- the server list
 
-void Gateway::list_told(const std::vector<rpc::RosterEntry>& entries, bool whole, bool stale) {
+void Gateway::list_told(const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale) {
     std::vector<Listing> listings;
     for (const rpc::RosterEntry& e : entries) {
         const std::uint32_t* kind = terms_.kinds.find(e.kind);
         const std::uint32_t* zone = terms_.zones.find(e.zone);
-        std::string trouble = !kind ? "unknown kind " + e.kind : !zone ? "unknown zone " + e.zone : "";
+        std::string error = !kind ? "unknown kind " + e.kind : !zone ? "unknown zone " + e.zone : "";
         const std::uint32_t* known = servers_.find(e.server);
-        if (trouble.empty() && !known) {
+        if (error.empty() && !known) {
             try {
                 Address::parse(e.server);
-            } catch (const NetTrouble& bad) {
-                trouble = bad.what();
+            } catch (const NetTrouble& exception) {
+                error = exception.what();
             }
         }
-        if (!trouble.empty()) {
+        if (!error.empty()) {
             log_.say(Weight::error, "roster", "an entry of the list cannot be used; it is passed over",
-                     {{"server", e.server}, {"error", trouble}});
+                     {{"server", e.server}, {"error", error}});
             continue;
         }
-        Listing l;
-        l.server = servers_.index(e.server);
-        l.mark = mark(e.server);
-        l.kind = static_cast<std::uint16_t>(*kind);
-        l.zone = static_cast<std::uint16_t>(*zone);
-        l.cell = cells_.index(e.zone + "/" + e.cell);
-        l.born = {e.born_ms * 1000};
-        l.standing = e.standing;
+        Listing listing;
+        listing.server = servers_.index(e.server);
+        listing.mark = mark(e.server);
+        listing.kind = static_cast<std::uint16_t>(*kind);
+        listing.zone = static_cast<std::uint16_t>(*zone);
+        listing.cell = cells_.index(e.zone + "/" + e.cell);
+        listing.born = {e.born_ms * 1000};
+        listing.standing = e.standing;
         if (e.standing == Standing::gone)
-            engines_->gone(l.server);
+            server_connections_->remove_server(listing.server);
         else
-            engines_->learn(l.server, e.server);
-        listings.push_back(l);
+            server_connections_->set_address(listing.server, e.server);
+        listings.push_back(listing);
     }
     log_.say(Weight::info, "roster",
-             stale   ? "list of the last run"
-             : whole ? "whole list"
-                     : "changes",
+             stale         ? "list of the last run"
+             : is_snapshot ? "whole list"
+                           : "changes",
              {{"entries", static_cast<std::int64_t>(listings.size())}});
     if (trace_)
-        trace_->happened(trace::Happening::list, "",
-                         stale   ? "of the last run"
-                         : whole ? "whole"
-                                 : "changes",
-                         static_cast<std::int64_t>(listings.size()));
-    desk_->list_arrived(listings, whole);
+        trace_->record_event(trace::Happening::list, "",
+                             stale         ? "of the last run"
+                             : is_snapshot ? "whole"
+                                           : "changes",
+                             static_cast<std::int64_t>(listings.size()));
+    desk_->list_arrived(listings, is_snapshot);
 }
 
 // ---- time
 
-void Gateway::wake_at(Instant at) { wake_.set(at - loop_.now()); }
+void Gateway::wake_at(Instant at) { wakeup_timer_.set(at - loop_.now()); }
 
 void Gateway::log(std::string_view line) {
-    // The rules name servers by index; people know them by address.
+    // The router names servers by index; the log names them by address.
     unsigned index = 0;
     const std::string text(line);
     if (std::sscanf(text.c_str(), "server %u is ", &index) == 1 && index < servers_.size()) {
@@ -545,31 +560,32 @@
 
 void Gateway::stop() {
     if (stopping_) {
-        stop_by_ = loop_.now();
+        stop_deadline_ = loop_.now();
         return;
     }
     stopping_ = true;
-    stop_by_ = loop_.now() + terms_.bounds.stop_within;
+    stop_deadline_ = loop_.now() + terms_.bounds.shutdown_timeout;
     listeners_.clear();
-    log_.say(Weight::info, "gateway", "stops; lets open queries end",
+    log_.say(Weight::info, "gateway", "stopping; waiting for open requests to end",
              {{"queries", static_cast<std::int64_t>(desk_->open_queries())}});
-    look_for_end();
+    continue_shutdown();
 }
 
-void Gateway::look_for_end() {
+void Gateway::continue_shutdown() {
     if (ended_) return loop_.stop();
-    if (desk_->open_queries() > 0 && loop_.now() >= stop_by_) {
+    if (desk_->open_queries() > 0 && loop_.now() >= stop_deadline_) {
         log_.say(Weight::warn, "gateway", "gives up what has not ended in time",
                  {{"queries", static_cast<std::int64_t>(desk_->open_queries())}});
         desk_->give_up_all("the gateway stops");
     }
-    const bool owes = desk_->open_queries() > 0 ||
-                      ((desk_->attempts_out() > 0 || engines_->owed() > 0) && loop_.now() < stop_by_);
-    if (owes) {
-        stop_timer_.set(kLookForEnd);
+    const bool has_work = desk_->open_queries() > 0 ||
+                          ((desk_->attempts_out() > 0 || server_connections_->owed_releases() > 0) &&
+                           loop_.now() < stop_deadline_);
+    if (has_work) {
+        stop_timer_.set(kShutdownPollInterval);
         return;
     }
-    callers_->close_all();
+    client_connections_->close_all();
     roster_->stop();
     const Tally& t = desk_->tally();
     log_.say(Weight::info, "gateway", "stopped",
@@ -579,7 +595,7 @@
               {"given_up", static_cast<std::int64_t>(t.given_up)},
               {"left", static_cast<std::int64_t>(t.left)}});
     ended_ = true;
-    stop_timer_.set(kLastWords);
+    stop_timer_.set(kFinalFlushTime);
 }
 
 }  // namespace copperfront
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
-// The daemon: joins callers, engines and the roster to the desk, and so to the module that decides. What
-// happens on the sockets becomes a call; what the desk does becomes a message. No decision is taken here.
+// The gateway daemon: connects clients, model servers and the roster to the dispatcher, and so to the router.
+// Events on the sockets become calls; actions of the dispatcher become messages. Takes no routing decisions.
 #pragma once
 
 #include <functional>
@@ -21,47 +21,49 @@
 
 namespace copperfront {
 
-class Gateway : private Outside, private Callers::Owner, private Engines::Owner {
+class Gateway : private Outside, private RpcClientConnections::Owner, private ServerConnections::Owner {
   public:
-    // Listens at once; throws NetTrouble or std::runtime_error where it cannot.
-    // `make_desk` is for tests that break a rule on purpose, to see that it is noticed.
+    // Starts to listen; throws NetTrouble or std::runtime_error if that fails.
+    // `make_desk` is for tests that break a rule on purpose, to check that the violation is detected.
     using MakeDesk = std::function<std::unique_ptr<Desk>(const Terms&, Outside&, std::uint32_t seed)>;
     Gateway(Loop& loop, const GatewayTerms& terms, std::uint32_t seed, Log& log,
             const MakeDesk& make_desk = {});
     ~Gateway() override;
 
     Address address(std::uint32_t listener = 0) const { return listeners_.at(listener)->address(); }
-    // Other terms, as a whole or not at all: false, with everything that is wrong in the faults, and the old
-    // ones stay. What is in hand keeps the terms that it came with.
-    bool change(GatewayTerms terms, std::vector<Fault>& faults);
-    // The same from a file; what is wrong is logged and told by the status call.
+    // Applies new terms, all or none: returns false, with all errors in `faults`, and keeps the old terms.
+    // Open requests keep the terms under which they arrived.
+    bool change_terms(GatewayTerms terms, std::vector<Fault>& diagnostics);
+    // The same from a file; errors are logged and reported by the status call.
     bool reload(const std::string& path, const Overrides& overrides);
-    // The same, but read and checked on a thread of its own, so that a file of thousands of routes holds up
-    // no answer. One that is wanted while another is under way is begun when that is done.
+    // The same, but reads and checks the file on a separate thread, so that a file of thousands of routes
+    // delays no answer. A reload that is requested while another is running starts when that one is done.
     void reload_aside(const std::string& path, const Overrides& overrides);
-    // Counts where the terms of another file would decide otherwise, and decides as before. False, with what
-    // is wrong in the faults: its categories, kinds, client groups and zones must be those of this one.
-    bool watch(const GatewayTerms& other, std::vector<Fault>& faults, std::uint32_t seed);
-    Peers* peers() { return peers_.get(); }
+    // Shadow evaluation: counts where other terms would decide differently; the gateway still decides by its
+    // own. Returns false, with the errors in `faults`, unless the other terms have the same categories,
+    // kinds, client groups and zones and the terms have not changed since the start.
+    bool watch(const GatewayTerms& other, std::vector<Fault>& diagnostics, std::uint32_t seed);
+    PeerNotes* peers() { return peers_.get(); }
     std::uint64_t generation() const { return generation_; }
-    // Takes nothing new, lets what is open end, and then stops the loop. A second call gives up what is open.
+    // Accepts no new requests, lets open requests end and then stops the loop. A second call abandons the
+    // open requests.
     void stop();
     const Desk& desk() const { return *desk_; }
 
   protected:
-    // Both for tests that break a rule on purpose.
+    // Both are hooks for tests that break a rule on purpose.
     virtual std::string final_line(const std::string& line) { return line; }
-    virtual void list_told(const std::vector<rpc::RosterEntry>& entries, bool whole, bool stale);
+    virtual void list_told(const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale);
 
   private:
-    struct Open {
-        CallerId caller = 0;
+    struct OpenRequest {
+        ClientId client = 0;
         rpc::Id id;
-        rpc::Ask ask;
-        std::string name;  // in records and at engines
+        rpc::Ask params;
+        std::string name;  // in logs, in the trace and at servers
         double tokens = 0;
         std::string text;
-        bool streams = true;
+        bool is_streamed = true;
     };
 
     Instant now() const override { return loop_.now(); }
@@ -70,12 +72,12 @@
     void send_write(AttemptId attempt, ServerIndex to, QueryIndex query, AttemptId state, ServerIndex from,
                     Span limit) override;
     void call_off(AttemptId attempt, ServerIndex at) override;
-    bool unsend(AttemptId attempt, ServerIndex) override { return engines_->unsend(attempt); }
+    bool unsend(AttemptId attempt, ServerIndex) override { return server_connections_->unsend(attempt); }
     void release(ServerIndex at, AttemptId state) override;
     void probe(ServerIndex server) override;
     void subscribe() override;
     void tell_peers(std::string_view note) override {
-        if (peers_) peers_->tell(note);
+        if (peers_) peers_->send(note);
     }
     void settled(QueryIndex query) override;
     void declined(QueryIndex query, Span stay_away, std::string_view why) override;
@@ -83,68 +85,68 @@
     void closed(QueryIndex query) override;
     void log(std::string_view line) override;
 
-    std::string asked(CallerId caller, const rpc::Id& id, const rpc::Ask& ask,
-                      std::uint32_t listener) override;
+    std::string request_received(ClientId client, const rpc::Id& id, const rpc::Ask& params,
+                                 std::uint32_t listener) override;
     rpc::Json status() const override;
-    rpc::Json peers_told() const;
-    rpc::Json watching_told() const;
-    void left(CallerId caller, const rpc::Id& id) override;
+    rpc::Json peer_status() const;
+    rpc::Json shadow_status() const;
+    void client_left(ClientId client, const rpc::Id& id) override;
 
-    void attempt_over(AttemptId attempt, const Outcome& outcome, double tokens,
-                      const std::string& text) override;
+    void attempt_ended(AttemptId attempt, const Outcome& outcome, double tokens,
+                       const std::string& text) override;
     void token_came(AttemptId attempt, std::string_view text) override;
-    void probe_over(ServerIndex server, bool answered, const LoadReport& report) override;
+    void probe_ended(ServerIndex server, bool answered, const LoadReport& report) override;
 
-    struct Read {
-        bool well = false;
+    struct LoadedTerms {
+        bool ok = false;
         GatewayTerms terms;
-        std::vector<Fault> faults;
+        std::vector<Fault> diagnostics;
     };
-    static Read read(const std::string& path, const Overrides& overrides);
-    bool take(const std::string& path, Read read);
-    void look_for_read();
-    Terms adopt(const GatewayTerms& terms);
+    static LoadedTerms load_terms(const std::string& path, const Overrides& overrides);
+    bool apply_loaded(const std::string& path, LoadedTerms loaded);
+    void poll_reload();
+    Terms to_core_terms(const GatewayTerms& terms);
     std::vector<RouteLimits> route_limits() const;
     std::string state_name(AttemptId attempt) const;
-    rpc::Order order_of(const Open& open, Span limit) const;
-    void answer(QueryIndex query, const std::string& line, const char* how);
-    void look_for_end();
+    rpc::Order make_attempt_request(const OpenRequest& open_request, Span limit) const;
+    void answer(QueryIndex query, const std::string& line, const char* outcome);
+    void continue_shutdown();
 
     Loop& loop_;
     GatewayTerms terms_;
     Log& log_;
-    const std::string life_;
-    std::vector<Open> open_;  // by query
-    std::map<std::pair<CallerId, rpc::Id>, QueryIndex> by_call_;
+    const std::string instance_id_;
+    std::vector<OpenRequest> open_requests_;  // by request
+    std::map<std::pair<ClientId, rpc::Id>, QueryIndex> request_by_id_;
     Names servers_, cells_;
-    std::uint64_t queries_ = 0;
-    double settled_tokens_ = 0;
-    std::string settled_text_;
+    std::uint64_t request_count_ = 0;
+    double answer_tokens_ = 0;
+    std::string answer_text_;
     bool stopping_ = false, ended_ = false;
-    // Of the module, under the names of the file: they only grow, so that a query in hand keeps what it came
-    // with.
+    // Categories, client groups and routes as the router indexes them. They only grow, so that an open
+    // request keeps those under which it arrived.
     std::vector<Category> categories_;
     std::vector<std::string> category_names_;
-    std::vector<std::uint16_t> category_now_;  // by the file's index
-    Names groups_, routes_;                    // routes_: by RouteIndex
-    std::vector<std::int32_t> group_now_;      // by the file's index
-    std::vector<RouteIndex> route_now_;        // by place in the table
+    std::vector<std::uint16_t> category_index_;     // by index in the file
+    Names groups_, routes_;                         // routes_: by RouteIndex
+    std::vector<std::int32_t> client_group_index_;  // by index in the file
+    std::vector<RouteIndex> route_index_;           // by position in the route table
     std::uint64_t generation_ = 1;
-    Instant changed_;
-    std::string refused_;  // why the last reload was
+    Instant terms_changed_at_;
+    std::string reload_error_;  // why the last reload was refused; empty if it was applied
     std::vector<std::unique_ptr<Listener>> listeners_;
-    std::unique_ptr<Callers> callers_;
-    std::unique_ptr<Engines> engines_;
-    std::unique_ptr<RosterFeed> roster_;
-    std::unique_ptr<Peers> peers_;      // null: it may not tell them anything
-    std::unique_ptr<TraceFeed> trace_;  // null: no trace is kept
+    std::unique_ptr<RpcClientConnections> client_connections_;
+    std::unique_ptr<ServerConnections> server_connections_;
+    std::unique_ptr<RosterClient> roster_;
+    std::unique_ptr<PeerNotes> peers_;      // null: notes between peers are not allowed
+    std::unique_ptr<TraceObserver> trace_;  // null: no trace is written
     std::unique_ptr<Desk> desk_;
-    std::future<Read> reading_;
-    std::string reading_path_;
-    Overrides reading_overrides_;
-    bool read_again_ = false;
-    Timer wake_, stop_timer_, read_timer_;
-    Instant stop_by_;
+    std::future<LoadedTerms> pending_reload_;
+    std::string reload_path_;
+    Overrides reload_overrides_;
+    bool reload_again_ = false;
+    Timer wakeup_timer_, stop_timer_, reload_timer_;
+    Instant stop_deadline_;
 };
 
 }  // namespace copperfront
--- a/src/gateway/list_store.cpp
+++ b/src/gateway/list_store.cpp
@@ -15,10 +15,10 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kLargest = 64 << 20;
-constexpr int kVersion = 1;
+constexpr std::size_t kMaxFileBytes = 64 << 20;
+constexpr int kFormatVersion = 1;
 
-std::string error_text() { return std::strerror(errno); }
+std::string errno_text() { return std::strerror(errno); }
 
 bool write_all(int fd, const std::string& text) {
     std::size_t done = 0;
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-ListStore::ListStore(std::string folder) : folder_(std::move(folder)) {
+ServerListStore::ServerListStore(std::string folder) : folder_(std::move(folder)) {
     if (folder_.empty()) return;
     std::error_code error;
     std::filesystem::create_directories(folder_, error);
@@ -41,42 +41,44 @@
     file_ = folder_ + "/servers.json";
 }
 
-std::optional<rpc::RosterNews> ListStore::read(std::string& trouble) {
+std::optional<rpc::RosterNews> ServerListStore::read(std::string& error) {
     if (file_.empty() || !std::filesystem::exists(file_)) return std::nullopt;
     std::string text;
-    std::vector<Fault> faults;
-    const auto aside = [&](const std::string& why) -> std::optional<rpc::RosterNews> {
-        const std::string bad = file_ + ".damaged";
-        std::rename(file_.c_str(), bad.c_str());
-        trouble = why + "; set aside as " + bad;
+    std::vector<Fault> diagnostics;
+    const auto set_aside = [&](const std::string& reason) -> std::optional<rpc::RosterNews> {
+        const std::string damaged_file = file_ + ".damaged";
+        std::rename(file_.c_str(), damaged_file.c_str());
+        error = reason + "; set aside as " + damaged_file;
         return std::nullopt;
     };
-    if (!read_file(file_, kLargest, text, faults)) return aside(faults.front().what);
-    const rpc::Json held = rpc::Json::parse(text, nullptr, false);
-    if (!held.is_object() || rpc::number_at(held, "format") != kVersion || !held.contains("list"))
-        return aside("not a list of servers of format 1");
-    const std::string sum = std::to_string(mark(held["list"].dump()));
-    if (rpc::text_at(held, "sum") != sum) return aside("its sum does not fit");
-    auto news = rpc::read_news(held["list"]);
-    if (const auto* wrong = std::get_if<std::string>(&news)) return aside(*wrong);
-    return std::get<rpc::RosterNews>(std::move(news));
+    if (!read_file(file_, kMaxFileBytes, text, diagnostics)) return set_aside(diagnostics.front().what);
+    const rpc::Json document = rpc::Json::parse(text, nullptr, false);
+    if (!document.is_object() || rpc::number_at(document, "format") != kFormatVersion ||
+        !document.contains("list"))
+        return set_aside("not a list of servers of format 1");
+    const std::string checksum = std::to_string(mark(document["list"].dump()));
+    if (rpc::text_at(document, "sum") != checksum) return set_aside("its checksum does not match");
+    auto update = rpc::read_news(document["list"]);
+    if (const auto* problem = std::get_if<std::string>(&update)) return set_aside(*problem);
+    return std::get<rpc::RosterNews>(std::move(update));
 }
 
-bool ListStore::write(const rpc::RosterNews& whole, std::string& trouble) {
+bool ServerListStore::write(const rpc::RosterNews& snapshot, std::string& error) {
     if (file_.empty()) return true;
-    const rpc::Json list = rpc::news_json(whole);
-    const rpc::Json held = {{"format", kVersion}, {"sum", std::to_string(mark(list.dump()))}, {"list", list}};
-    const std::string fresh = file_ + ".new";
-    const int fd = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+    const rpc::Json list = rpc::news_json(snapshot);
+    const rpc::Json document = {
+        {"format", kFormatVersion}, {"sum", std::to_string(mark(list.dump()))}, {"list", list}};
+    const std::string new_file = file_ + ".new";
+    const int fd = ::open(new_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0) {
-        trouble = fresh + ": " + error_text();
+        error = new_file + ": " + errno_text();
         return false;
     }
-    const bool well = write_all(fd, held.dump() + "\n") && ::fdatasync(fd) == 0;
-    if (!well) trouble = fresh + ": " + error_text();
+    const bool written = write_all(fd, document.dump() + "\n") && ::fdatasync(fd) == 0;
+    if (!written) error = new_file + ": " + errno_text();
     ::close(fd);
-    if (well && std::rename(fresh.c_str(), file_.c_str()) == 0) return true;
-    if (well) trouble = file_ + ": " + error_text();
+    if (written && std::rename(new_file.c_str(), file_.c_str()) == 0) return true;
+    if (written) error = file_ + ": " + errno_text();
     return false;
 }
 
--- a/src/gateway/list_store.h
+++ b/src/gateway/list_store.h
@@ -1,5 +1,5 @@
-// The last list of servers, kept over restarts: written to a new file, synced, renamed, so that a kill at any
-// moment leaves the old list or the new one.
+// Stores the last list of servers across restarts: written to a new file, synced and renamed, so that a kill
+// at any moment leaves either the old list or the new one.
 #pragma once
 
 #include <optional>
@@ -9,15 +9,15 @@
 
 namespace copperfront {
 
-class ListStore {
+class ServerListStore {
   public:
-    // An empty folder: nothing is kept. Throws std::runtime_error where the folder cannot be made.
-    explicit ListStore(std::string folder);
+    // With an empty folder name nothing is stored. Throws std::runtime_error if the folder cannot be created.
+    explicit ServerListStore(std::string folder);
 
-    // None: there is none. A damaged file is set aside under another name, which `trouble` tells.
-    std::optional<rpc::RosterNews> read(std::string& trouble);
-    // False with the reason in `trouble`.
-    bool write(const rpc::RosterNews& whole, std::string& trouble);
+    // Returns nothing if no list is stored. A damaged file is renamed, and `error` says so.
+    std::optional<rpc::RosterNews> read(std::string& error);
+    // Returns false, with the reason in `error`, if the list cannot be written.
+    bool write(const rpc::RosterNews& snapshot, std::string& error);
 
   private:
     std::string folder_, file_;
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -1,5 +1,5 @@
-// Short notes between gateways: datagrams on loopback addresses, at most 256 bytes, without any promise that
-// they arrive. What comes from an address that is no peer's is dropped and counted.
+// Short notes between gateways: datagrams on loopback addresses, at most 256 bytes, without a guarantee of
+// delivery. Datagrams from addresses that are not those of peers are dropped and counted.
 #pragma once
 
 #include <cstdint>
@@ -15,32 +15,32 @@
 
 namespace copperfront {
 
-class Peers {
+class PeerNotes {
   public:
-    // Throws NetTrouble where an address can't be had or read.
-    Peers(Loop& loop, const Address& at, const std::vector<std::string>& peers,
-          std::function<void(std::string_view)> heard);
-    ~Peers();
-    Peers(const Peers&) = delete;
-    Peers& operator=(const Peers&) = delete;
+    // Throws NetTrouble if the address cannot be bound or an address cannot be parsed.
+    PeerNotes(Loop& loop, const Address& listen_address, const std::vector<std::string>& peers,
+              std::function<void(std::string_view)> on_note);
+    ~PeerNotes();
+    PeerNotes(const PeerNotes&) = delete;
+    PeerNotes& operator=(const PeerNotes&) = delete;
 
     Address address() const;
     void add(const Address& peer) { peers_.push_back(peer); }
-    void tell(std::string_view note);
+    void send(std::string_view note);
 
     struct Counts {
-        std::uint64_t told = 0, heard = 0, dropped = 0;
+        std::uint64_t sent = 0, received = 0, dropped = 0;
     };
     const Counts& counts() const { return counts_; }
 
   private:
-    static void readable(int, short, void* self);
-    void read();
+    static void on_readable(int, short, void* self);
+    void receive();
 
     int fd_ = -1;
     event* event_ = nullptr;
     std::vector<Address> peers_;
-    std::function<void(std::string_view)> heard_;
+    std::function<void(std::string_view)> on_note_;
     Counts counts_;
 };
 
--- a/src/gateway/roster_feed.cpp
+++ b/src/gateway/roster_feed.cpp
@@ -3,144 +3,149 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kKeepAfter{200000};  // changes that come together are written once
+constexpr Span kStoreDelay{200000};  // changes within this time are written together
 
 }  // namespace
 
-RosterFeed::RosterFeed(Loop& loop, const GatewayTerms& terms, rpc::Hello hello, Told told,
-                       std::function<void()> missed, Log& log)
+RosterClient::RosterClient(Loop& loop, const GatewayTerms& terms, rpc::Hello hello, OnList on_list,
+                           std::function<void()> on_list_failed, Log& log)
     : loop_(loop),
       address_(terms.roster),
-      bounds_{terms.bounds.line_bytes, terms.bounds.unsent_bytes},
-      redial_(terms.bounds.redial),
-      patience_for_(terms.bounds.engine_silence),
-      ask_(terms.core.ask_for_list),
+      bounds_{terms.bounds.max_line_bytes, terms.bounds.max_unsent_bytes},
+      reconnect_delay_(terms.bounds.roster_reconnect_delay),
+      answer_timeout_(terms.bounds.server_silence_timeout),
+      list_on_request_(terms.core.ask_for_list),
       hello_(std::move(hello)),
-      told_(std::move(told)),
-      missed_(std::move(missed)),
+      on_list_(std::move(on_list)),
+      on_list_failed_(std::move(on_list_failed)),
       log_(log),
       store_(terms.state_folder),
-      again_(loop, [this] { dial(); }),
-      patience_(loop, [this] { lost("no answer in time"); }),
-      keep_(loop, [this] {
-          rpc::RosterNews whole{version_, true, {}};
-          for (const auto& [server, entry] : list_) whole.entries.push_back(entry);
-          std::string trouble;
-          if (!store_.write(whole, trouble))
+      reconnect_timer_(loop, [this] { connect_to_roster(); }),
+      answer_timer_(loop, [this] { handle_lost_connection("no answer in time"); }),
+      store_timer_(loop, [this] {
+          rpc::RosterNews snapshot{version_, true, {}};
+          for (const auto& [server, entry] : list_) snapshot.entries.push_back(entry);
+          std::string error;
+          if (!store_.write(snapshot, error))
               log_.say(Weight::error, "roster", "the list of servers cannot be kept for the next start",
-                       {{"error", trouble}});
+                       {{"error", error}});
       }) {}
 
-RosterFeed::~RosterFeed() { Link::hand_off(loop_, std::move(link_), false); }
+RosterClient::~RosterClient() { Link::hand_off(loop_, std::move(connection_), false); }
 
-void RosterFeed::start() {
-    std::string trouble;
-    const auto last = store_.read(trouble);
-    if (!trouble.empty())
-        log_.say(Weight::error, "roster", "the list of the last run is damaged", {{"error", trouble}});
+void RosterClient::start() {
+    std::string error;
+    const auto last = store_.read(error);
+    if (!error.empty())
+        log_.say(Weight::error, "roster", "the list of the last run is damaged", {{"error", error}});
     std::vector<rpc::RosterEntry> entries;
     if (last) {
         for (const rpc::RosterEntry& e : last->entries) list_[e.server] = e;
         entries = last->entries;
-        log_.say(Weight::info, "roster", "begins with the list of the last run",
+        log_.say(Weight::info, "roster", "starts with the stored server list of the last run",
                  {{"servers", static_cast<std::int64_t>(entries.size())},
                   {"version", static_cast<std::int64_t>(last->version)}});
     }
-    told_(entries, true, true);
-    if (!address_.empty()) dial();
+    on_list_(entries, true, true);
+    if (!address_.empty()) connect_to_roster();
 }
 
-void RosterFeed::tell_again() {
+void RosterClient::replay_list() {
     std::vector<rpc::RosterEntry> entries;
     for (const auto& [server, entry] : list_) entries.push_back(entry);
-    told_(entries, true, !synced_);
+    on_list_(entries, true, !synced_);
 }
 
-void RosterFeed::stop() {
-    again_.off();
-    patience_.off();
-    if (keep_.is_set()) keep_.set(Span{0});
-    Link::hand_off(loop_, std::move(link_), false);
+void RosterClient::stop() {
+    reconnect_timer_.off();
+    answer_timer_.off();
+    if (store_timer_.is_set()) store_timer_.set(Span{0});
+    Link::hand_off(loop_, std::move(connection_), false);
 }
 
-void RosterFeed::ask() {
-    wanted_ = true;
-    if (open_) watch();
+void RosterClient::request_list() {
+    list_requested_ = true;
+    if (initialized_) send_watch();
 }
 
-void RosterFeed::dial() {
-    open_ = synced_ = false;
-    link_ = Link::dial(loop_, Address::parse(address_), bounds_, *this);
-    patience_.set(patience_for_);
+void RosterClient::connect_to_roster() {
+    initialized_ = synced_ = false;
+    connection_ = Link::dial(loop_, Address::parse(address_), bounds_, *this);
+    answer_timer_.set(answer_timeout_);
 }
 
-void RosterFeed::link_made(Link& link) { link.send(rpc::hello_line(rpc::Id{std::string("hello")}, hello_)); }
+void RosterClient::link_made(Link& connection) {
+    connection.send(rpc::hello_line(rpc::Id{std::string("hello")}, hello_));
+}
 
-void RosterFeed::watch() {
-    link_->send(rpc::call(rpc::Id{++asked_}, rpc::kWatch, {{"version", version_}}));
-    patience_.set(patience_for_);
+void RosterClient::send_watch() {
+    connection_->send(rpc::call(rpc::Id{++last_watch_id_}, rpc::kWatch, {{"version", version_}}));
+    answer_timer_.set(answer_timeout_);
 }
 
-void RosterFeed::line_came(Link&, std::string_view line) {
+void RosterClient::line_came(Link&, std::string_view line) {
     auto parsed = rpc::parse(line);
     const auto* m = std::get_if<rpc::Message>(&parsed);
-    if (!m) return lost("a bad message: " + std::get<rpc::BadMessage>(parsed).text);
+    if (!m) return handle_lost_connection("invalid message: " + std::get<rpc::BadMessage>(parsed).text);
     if (m->sort == rpc::Sort::call && m->method == rpc::kPing) {
-        link_->send(rpc::result(m->id, rpc::Json::object()));
+        connection_->send(rpc::result(m->id, rpc::Json::object()));
         return;
     }
-    if (m->sort == rpc::Sort::error) return lost("the roster answered with an error: " + m->text);
+    if (m->sort == rpc::Sort::error)
+        return handle_lost_connection("the roster returned an error: " + m->text);
     if (m->sort == rpc::Sort::result && m->id == rpc::Id{std::string("hello")}) {
-        open_ = true;
-        patience_.off();
-        if (!ask_ || wanted_) watch();
+        initialized_ = true;
+        answer_timer_.off();
+        if (!list_on_request_ || list_requested_) send_watch();
         return;
     }
-    const bool answer = m->sort == rpc::Sort::result && m->id == rpc::Id{asked_};
-    if (!answer && !(m->sort == rpc::Sort::notice && m->method == rpc::kRosterChanged)) return;
-    auto news = rpc::read_news(m->body);
-    if (const auto* wrong = std::get_if<std::string>(&news)) return lost("bad news: " + *wrong);
-    if (answer) {
-        patience_.off();
+    const bool is_answer = m->sort == rpc::Sort::result && m->id == rpc::Id{last_watch_id_};
+    if (!is_answer && !(m->sort == rpc::Sort::notice && m->method == rpc::kRosterChanged)) return;
+    auto update = rpc::read_news(m->body);
+    if (const auto* problem = std::get_if<std::string>(&update))
+        return handle_lost_connection("invalid list update: " + *problem);
+    if (is_answer) {
+        answer_timer_.off();
         synced_ = true;
     }
-    take(std::get<rpc::RosterNews>(news));
+    apply(std::get<rpc::RosterNews>(update));
 }
 
-void RosterFeed::take(const rpc::RosterNews& news) {
+void RosterClient::apply(const rpc::RosterNews& update) {
     if (!synced_) return;
-    if (!news.whole && news.version != version_ + 1) {
-        // News was lost on the way, or it is an old one again: only the whole list can be trusted now.
+    if (!update.whole && update.version != version_ + 1) {
+        // An update was lost or an old one was repeated; only a full snapshot is reliable now.
         log_.say(Weight::warn, "roster", "a gap in the news; asks for the whole list",
                  {{"have", static_cast<std::int64_t>(version_)},
-                  {"came", static_cast<std::int64_t>(news.version)}});
+                  {"came", static_cast<std::int64_t>(update.version)}});
         version_ = 0;
-        watch();
+        send_watch();
         return;
     }
-    version_ = news.version;
-    if (news.whole) list_.clear();
-    for (const rpc::RosterEntry& e : news.entries) {
+    version_ = update.version;
+    if (update.whole) list_.clear();
+    for (const rpc::RosterEntry& e : update.entries) {
         if (e.standing == Standing::gone)
             list_.erase(e.server);
         else
             list_[e.server] = e;
     }
-    keep_.set(kKeepAfter);
-    told_(news.entries, news.whole, false);
+    store_timer_.set(kStoreDelay);
+    on_list_(update.entries, update.whole, false);
 }
 
-void RosterFeed::link_closed(Link&, Closing, const std::string& what) { lost(what); }
-
-void RosterFeed::lost(const std::string& why) {
-    log_.say(Weight::warn, "roster", "the roster is lost; goes on with the list in hand",
-             {{"error", why}, {"address", address_}, {"servers", static_cast<std::int64_t>(list_.size())}});
-    patience_.off();
-    Link::hand_off(loop_, std::move(link_), false);
-    const bool asked = ask_ && wanted_ && !synced_;
-    open_ = synced_ = false;
-    again_.set(redial_);
-    if (asked) missed_();
+void RosterClient::link_closed(Link&, Closing, const std::string& what) { handle_lost_connection(what); }
+
+void RosterClient::handle_lost_connection(const std::string& reason) {
+    log_.say(
+        Weight::warn, "roster", "the roster is lost; goes on with the list in hand",
+        {{"error", reason}, {"address", address_}, {"servers", static_cast<std::int64_t>(list_.size())}});
+    answer_timer_.off();
+    Link::hand_off(loop_, std::move(connection_), false);
+    const bool awaiting_list = list_on_request_ && list_requested_ && !synced_;
+    initialized_ = synced_ = false;
+    reconnect_timer_.set(reconnect_delay_);
+    if (awaiting_list) on_list_failed_();
 }
 
 }  // namespace copperfront
--- a/src/gateway/roster_feed.h
+++ b/src/gateway/roster_feed.h
@@ -1,5 +1,5 @@
-// The list of servers as the roster tells it: the connection is kept up, gaps in its versions are noticed and
-// the whole list asked for again, and the last list is kept for the next start.
+// Client of the roster (the service that announces the list of servers): keeps the connection open, requests
+// a full snapshot when a version is missing, and stores the last list for the next start.
 #pragma once
 
 #include <functional>
@@ -15,23 +15,24 @@
 
 namespace copperfront {
 
-class RosterFeed : public Link::Owner {
+class RosterClient : public Link::Owner {
   public:
-    // News in the order in which it counts. `stale`: the list of the last run.
-    using Told = std::function<void(const std::vector<rpc::RosterEntry>&, bool whole, bool stale)>;
+    // Called for each update, in version order. `stale`: the list is the stored one of the last run, or the
+    // connection to the roster is lost.
+    using OnList = std::function<void(const std::vector<rpc::RosterEntry>&, bool is_snapshot, bool stale)>;
 
-    RosterFeed(Loop& loop, const GatewayTerms& terms, rpc::Hello hello, Told told,
-               std::function<void()> missed, Log& log);
-    ~RosterFeed() override;
+    RosterClient(Loop& loop, const GatewayTerms& terms, rpc::Hello hello, OnList on_list,
+                 std::function<void()> on_list_failed, Log& log);
+    ~RosterClient() override;
 
-    // Tells the list of the last run, and begins to follow the roster.
+    // Reports the stored list of the last run and connects to the roster.
     void start();
-    // The rules ask for the list (where the terms have them ask).
-    void ask();
+    // Called when the router requests the list (if the terms make it request the list).
+    void request_list();
     void stop();
-    // The whole list in hand once more, for one who has come later.
-    void tell_again();
-    bool live() const { return synced_; }
+    // Reports the current list again, as a snapshot, for a listener that was added later.
+    void replay_list();
+    bool is_synced() const { return synced_; }
     std::size_t size() const { return list_.size(); }
 
     void link_made(Link&) override;
@@ -39,27 +40,27 @@
     void link_closed(Link&, Closing, const std::string& what) override;
 
   private:
-    void dial();
-    void lost(const std::string& why);
-    void take(const rpc::RosterNews& news);
-    void watch();
+    void connect_to_roster();
+    void handle_lost_connection(const std::string& why);
+    void apply(const rpc::RosterNews& update);
+    void send_watch();
 
     Loop& loop_;
     const std::string address_;
     const LinkBounds bounds_;
-    const Span redial_, patience_for_;
-    const bool ask_;
+    const Span reconnect_delay_, answer_timeout_;
+    const bool list_on_request_;
     const rpc::Hello hello_;
-    Told told_;
-    std::function<void()> missed_;
+    OnList on_list_;
+    std::function<void()> on_list_failed_;
     Log& log_;
-    ListStore store_;
-    std::unique_ptr<Link> link_;
-    Timer again_, patience_, keep_;
-    bool open_ = false, synced_ = false, wanted_ = false;
+    ServerListStore store_;
+    std::unique_ptr<Link> connection_;
+    Timer reconnect_timer_, answer_timer_, store_timer_;
+    bool initialized_ = false, synced_ = false, list_requested_ = false;
     std::uint64_t version_ = 0;
     std::map<std::string, rpc::RosterEntry> list_;
-    std::int64_t asked_ = 0;
+    std::int64_t last_watch_id_ = 0;
 };
 
 }  // namespace copperfront
--- a/src/rpc/message.cpp
+++ b/src/rpc/message.cpp
@@ -3,11 +3,11 @@
 namespace copperfront::rpc {
 namespace {
 
-constexpr int kMostDepth = 32;
-constexpr std::size_t kLongestId = 128;
+constexpr int kMaxDepth = 32;
+constexpr std::size_t kMaxIdBytes = 128;
 
-// nlohmann-json parses by recursion-free steps but builds and destroys nested values by recursion, so depth
-// is bounded before it sees the line.
+// nlohmann-json parses without recursion but builds and destroys nested values recursively, so the depth is
+// bounded before it gets the line.
 bool too_deep(std::string_view line) {
     int depth = 0;
     bool quoted = false;
@@ -19,7 +19,7 @@
         } else if (c == '"') {
             quoted = true;
         } else if (c == '[' || c == '{') {
-            if (++depth > kMostDepth) return true;
+            if (++depth > kMaxDepth) return true;
         } else if (c == ']' || c == '}') {
             --depth;
         }
@@ -36,7 +36,7 @@
         id = static_cast<std::int64_t>(number);
     } else if (value.is_number_integer()) {
         id = value.get<std::int64_t>();
-    } else if (value.is_string() && value.get_ref<const std::string&>().size() <= kLongestId) {
+    } else if (value.is_string() && value.get_ref<const std::string&>().size() <= kMaxIdBytes) {
         id = value.get<std::string>();
     } else {
         return false;
@@ -44,13 +44,15 @@
     return true;
 }
 
-std::string dumped(const Json& value) { return value.dump(-1, ' ', false, Json::error_handler_t::replace); }
+std::string dump_json(const Json& value) {
+    return value.dump(-1, ' ', false, Json::error_handler_t::replace);
+}
 
 }  // namespace
 
 std::variant<Message, BadMessage> parse(std::string_view line) {
     if (too_deep(line))
-        return BadMessage{kParseError, "more than " + std::to_string(kMostDepth) + " levels of nesting", {}};
+        return BadMessage{kParseError, "more than " + std::to_string(kMaxDepth) + " levels of nesting", {}};
     Json value = Json::parse(line, nullptr, false);
     if (value.is_discarded()) return BadMessage{kParseError, "the line is not JSON", {}};
     if (value.is_array())
@@ -61,41 +63,41 @@
     const auto id = value.find("id");
     if (id != value.end() && !read_id(*id, m.id))
         return BadMessage{kInvalidRequest, "id: expected a whole number, or text of up to 128 bytes", {}};
-    const auto bad = [&](const char* what) { return BadMessage{kInvalidRequest, what, m.id}; };
+    const auto invalid = [&](const char* what) { return BadMessage{kInvalidRequest, what, m.id}; };
     const auto version = value.find("jsonrpc");
-    if (version == value.end() || *version != "2.0") return bad("jsonrpc: expected \"2.0\"");
+    if (version == value.end() || *version != "2.0") return invalid("jsonrpc: expected \"2.0\"");
     if (const auto method = value.find("method"); method != value.end()) {
-        if (!method->is_string()) return bad("method: expected text");
+        if (!method->is_string()) return invalid("method: expected text");
         m.method = method->get<std::string>();
         m.sort = id == value.end() ? Sort::notice : Sort::call;
         if (m.sort == Sort::call && std::holds_alternative<std::monostate>(m.id))
-            return bad("id: a call needs one that is not null");
+            return invalid("id: a call needs one that is not null");
         if (const auto params = value.find("params"); params != value.end()) {
-            if (!params->is_object()) return bad("params: expected an object");
+            if (!params->is_object()) return invalid("params: expected an object");
             m.body = std::move(*params);
         } else {
             m.body = Json::object();
         }
         return m;
     }
-    if (id == value.end()) return bad("neither a method nor an id");
+    if (id == value.end()) return invalid("neither a method nor an id");
     if (const auto body = value.find("result"); body != value.end()) {
-        if (value.contains("error")) return bad("both a result and an error");
+        if (value.contains("error")) return invalid("both a result and an error");
         m.sort = Sort::result;
         m.body = std::move(*body);
         return m;
     }
-    const auto trouble = value.find("error");
-    if (trouble == value.end() || !trouble->is_object())
-        return bad("neither a method, a result nor an error");
-    const auto code = trouble->find("code");
-    if (code == trouble->end() || !code->is_number_integer())
-        return bad("error.code: expected a whole number");
+    const auto error_object = value.find("error");
+    if (error_object == value.end() || !error_object->is_object())
+        return invalid("neither a method, a result nor an error");
+    const auto code = error_object->find("code");
+    if (code == error_object->end() || !code->is_number_integer())
+        return invalid("error.code: expected a whole number");
     m.sort = Sort::error;
     m.code = code->get<int>();
-    if (const auto text = trouble->find("message"); text != trouble->end() && text->is_string())
+    if (const auto text = error_object->find("message"); text != error_object->end() && text->is_string())
         m.text = text->get<std::string>();
-    if (const auto data = trouble->find("data"); data != trouble->end()) m.body = std::move(*data);
+    if (const auto data = error_object->find("data"); data != error_object->end()) m.body = std::move(*data);
     return m;
 }
 
@@ -107,7 +109,7 @@
         out += text;
         out += '"';
     } else {
-        out += dumped(Json(std::string(text)));
+        out += dump_json(Json(std::string(text)));
     }
 }
 
@@ -124,26 +126,26 @@
 std::string call(const Id& id, std::string_view method, const Json& params) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) + ",\"method\":\"";
     out += method;
-    out += "\",\"params\":" + dumped(params) + "}";
+    out += "\",\"params\":" + dump_json(params) + "}";
     return out;
 }
 
 std::string notice(std::string_view method, const Json& params) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"method\":\"";
     out += method;
-    out += "\",\"params\":" + dumped(params) + "}";
+    out += "\",\"params\":" + dump_json(params) + "}";
     return out;
 }
 
 std::string result(const Id& id, const Json& body) {
-    return "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) + ",\"result\":" + dumped(body) + "}";
+    return "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) + ",\"result\":" + dump_json(body) + "}";
 }
 
 std::string error(const Id& id, int code, std::string_view text, const Json& data) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) +
                       ",\"error\":{\"code\":" + std::to_string(code) + ",\"message\":";
     append_quoted(out, text);
-    if (!data.is_null()) out += ",\"data\":" + dumped(data);
+    if (!data.is_null()) out += ",\"data\":" + dump_json(data);
     out += "}}";
     return out;
 }
--- a/src/rpc/message.h
+++ b/src/rpc/message.h
@@ -1,5 +1,5 @@
-// JSON-RPC 2.0 messages (the page at jsonrpc.org, 2013), one a line, without batches as in the Model Context
-// Protocol since its version 2025-06-18. Free of I/O.
+// JSON-RPC 2.0 messages (specification at jsonrpc.org, 2013), one message a line, without batches, as in the
+// Model Context Protocol since its version 2025-06-18. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 using Json = nlohmann::json;
 using Id = std::variant<std::monostate, std::int64_t, std::string>;  // monostate: none, or null
 
-// Published codes.
+// Error codes of the JSON-RPC specification.
 inline constexpr int kParseError = -32700;
 inline constexpr int kInvalidRequest = -32600;
 inline constexpr int kMethodNotFound = -32601;
@@ -25,20 +25,21 @@
 struct Message {
     Sort sort = Sort::notice;
     Id id;
-    std::string method;  // of a call or a notice
+    std::string method;  // of a request or a notification
     Json body;           // params, result, or the data of an error
     int code = 0;        // of an error
     std::string text;    // of an error
 };
 
-// What a peer must be told of a line that is no message.
+// The error to return for a line that is not a valid message.
 struct BadMessage {
     int code = kParseError;
     std::string text;
-    Id id;  // as far as it could be read
+    Id id;  // the id of the message, if it could be read
 };
 
-// Takes any bytes; never throws. Depth is bounded, so that a line of brackets cannot exhaust the stack.
+// Accepts any bytes; never throws. The nesting depth is bounded, so that a line of brackets cannot exhaust
+// the stack.
 std::variant<Message, BadMessage> parse(std::string_view line);
 
 std::string call(const Id& id, std::string_view method, const Json& params);
@@ -46,9 +47,9 @@
 std::string result(const Id& id, const Json& body);
 std::string error(const Id& id, int code, std::string_view text, const Json& data = nullptr);
 
-// An id as JSON text, and for people.
+// An id as JSON text; also used in log lines and messages.
 std::string text_of(const Id& id);
-// A JSON string literal with its quotes; bytes that are not UTF-8 are replaced.
+// Appends a JSON string literal with its quotes. Bytes that are not valid UTF-8 are replaced.
 void append_quoted(std::string& out, std::string_view text);
 
 }  // namespace copperfront::rpc
--- a/src/rpc/wire.cpp
+++ b/src/rpc/wire.cpp
@@ -6,59 +6,59 @@
 namespace copperfront::rpc {
 namespace {
 
-constexpr std::size_t kLongestName = 256;
-constexpr std::size_t kMostAttributes = 16;
-constexpr double kMostTokens = 1e9;
-constexpr double kLongestMs = 86400000.0;
+constexpr std::size_t kMaxNameBytes = 256;
+constexpr std::size_t kMaxAttributes = 16;
+constexpr double kMaxTokens = 1e9;
+constexpr double kMaxDurationMs = 86400000.0;
 
-// Gathers the first thing wrong with a set of fields.
-class Fields {
+// Reads the fields of an object and keeps the first problem found.
+class FieldReader {
   public:
-    explicit Fields(const Json& object) : object_(object) {}
+    explicit FieldReader(const Json& object) : object_(object) {}
 
-    std::string text(const char* name, bool needed) {
-        const Json* value = find(name, needed);
+    std::string text(const char* name, bool required) {
+        const Json* value = find(name, required);
         if (!value) return {};
-        if (!value->is_string()) return wrong(name, "expected text"), std::string();
-        const auto& held = value->get_ref<const std::string&>();
-        if (held.size() > kLongestName) return wrong(name, "longer than 256 bytes"), std::string();
-        if (needed && held.empty()) return wrong(name, "is empty"), std::string();
-        return held;
+        if (!value->is_string()) return fail(name, "expected text"), std::string();
+        const auto& content = value->get_ref<const std::string&>();
+        if (content.size() > kMaxNameBytes) return fail(name, "longer than 256 bytes"), std::string();
+        if (required && content.empty()) return fail(name, "is empty"), std::string();
+        return content;
     }
-    double number(const char* name, bool needed, double least, double most) {
-        const Json* value = find(name, needed);
+    double number(const char* name, bool required, double min, double max) {
+        const Json* value = find(name, required);
         if (!value) return 0;
-        if (!value->is_number()) return wrong(name, "expected a number"), 0;
-        const double held = value->get<double>();
-        if (!(held >= least && held <= most)) return wrong(name, "out of range"), 0;
-        return held;
+        if (!value->is_number()) return fail(name, "expected a number"), 0;
+        const double amount = value->get<double>();
+        if (!(amount >= min && amount <= max)) return fail(name, "out of range"), 0;
+        return amount;
     }
-    Span span(const char* name, bool needed) {
-        return {std::llround(number(name, needed, 0, kLongestMs) * 1000)};
+    Span duration(const char* name, bool required) {
+        return {std::llround(number(name, required, 0, kMaxDurationMs) * 1000)};
     }
     bool flag(const char* name) {
         const Json* value = find(name, false);
         if (!value) return false;
-        if (!value->is_boolean()) return wrong(name, "expected true or false"), false;
+        if (!value->is_boolean()) return fail(name, "expected true or false"), false;
         return value->get<bool>();
     }
-    const Json* find(const char* name, bool needed) {
+    const Json* find(const char* name, bool required) {
         const auto it = object_.find(name);
         if (it != object_.end() && !it->is_null()) return &*it;
-        if (needed) wrong(name, "is missing");
+        if (required) fail(name, "is missing");
         return nullptr;
     }
-    void wrong(const std::string& name, const std::string& what) {
-        if (trouble_.empty()) trouble_ = name + ": " + what;
+    void fail(const std::string& name, const std::string& what) {
+        if (problem_.empty()) problem_ = name + ": " + what;
     }
-    const std::string& trouble() const { return trouble_; }
+    const std::string& problem() const { return problem_; }
 
   private:
     const Json& object_;
-    std::string trouble_;
+    std::string problem_;
 };
 
-void add(std::string& out, const char* name, std::string_view text) {
+void append_field(std::string& out, const char* name, std::string_view text) {
     if (text.empty()) return;
     out += ",\"";
     out += name;
@@ -66,7 +66,7 @@
     append_quoted(out, text);
 }
 
-void add(std::string& out, const char* name, double number) {
+void append_field(std::string& out, const char* name, double number) {
     if (number == 0) return;
     out += ",\"";
     out += name;
@@ -77,109 +77,112 @@
         out += Json(number).dump();
 }
 
-void add_report(Json& body, const LoadReport& report) {
-    if (const Json held = report_json(report); !held.empty()) body["load"] = held;
+void add_load_report(Json& body, const LoadReport& report) {
+    if (const Json load = report_json(report); !load.empty()) body["load"] = load;
 }
 
-const char* text_of(Standing standing) {
-    return standing == Standing::ready ? "ready" : standing == Standing::draining ? "draining" : "gone";
+const char* status_text(Standing status) {
+    return status == Standing::ready ? "ready" : status == Standing::draining ? "draining" : "gone";
 }
 
 }  // namespace
 
-std::string text_at(const Json& object, const char* name, const std::string& absent) {
-    if (!object.is_object()) return absent;
+std::string text_at(const Json& object, const char* name, const std::string& fallback) {
+    if (!object.is_object()) return fallback;
     const auto it = object.find(name);
-    return it != object.end() && it->is_string() ? it->get<std::string>() : absent;
+    return it != object.end() && it->is_string() ? it->get<std::string>() : fallback;
 }
 
-double number_at(const Json& object, const char* name, double absent) {
-    if (!object.is_object()) return absent;
+double number_at(const Json& object, const char* name, double fallback) {
+    if (!object.is_object()) return fallback;
     const auto it = object.find(name);
-    return it != object.end() && it->is_number() ? it->get<double>() : absent;
+    return it != object.end() && it->is_number() ? it->get<double>() : fallback;
 }
 
 std::variant<Ask, std::string> read_ask(const Json& params) {
-    Fields f(params);
-    Ask a;
-    a.category = f.text("category", true);
-    a.client_group = f.text("clientGroup", false);
-    a.session = f.text("session", false);
-    a.beginning = f.text("beginning", false);
-    a.mark = f.text("mark", false);
-    a.budget = f.span("budgetMs", true);
-    a.hint = f.span("hintMs", false);
-    a.most_tokens = f.number("maxTokens", true, 1, kMostTokens);
-    a.beginning_tokens = f.number("beginningTokens", false, 0, kMostTokens);
-    a.again = f.flag("again");
-    if (const Json* attributes = f.find("attributes", false)) {
-        if (!attributes->is_object() || attributes->size() > kMostAttributes) {
-            f.wrong("attributes",
-                    "expected an object of up to " + std::to_string(kMostAttributes) + " texts");
+    FieldReader fields(params);
+    Ask request;
+    request.category = fields.text("category", true);
+    request.client_group = fields.text("clientGroup", false);
+    request.session = fields.text("session", false);
+    request.beginning = fields.text("beginning", false);
+    request.mark = fields.text("mark", false);
+    request.budget = fields.duration("budgetMs", true);
+    request.hint = fields.duration("hintMs", false);
+    request.most_tokens = fields.number("maxTokens", true, 1, kMaxTokens);
+    request.beginning_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
+    request.again = fields.flag("again");
+    if (const Json* attributes = fields.find("attributes", false)) {
+        if (!attributes->is_object() || attributes->size() > kMaxAttributes) {
+            fields.fail("attributes",
+                        "expected an object of up to " + std::to_string(kMaxAttributes) + " texts");
         } else {
             for (const auto& [name, value] : attributes->items()) {
                 if (value.is_string() &&
-                    name.size() + value.get_ref<const std::string&>().size() < kLongestName)
-                    a.attributes.push_back(name + "=" + value.get<std::string>());
+                    name.size() + value.get_ref<const std::string&>().size() < kMaxNameBytes)
+                    request.attributes.push_back(name + "=" + value.get<std::string>());
                 else
-                    f.wrong("attributes." + name.substr(0, 40),
-                            "expected text of under 256 bytes with its name");
+                    fields.fail("attributes." + name.substr(0, 40),
+                                "expected text of under 256 bytes with its name");
             }
         }
     }
-    if (const Json* parts = f.find("prompt", true)) {
+    if (const Json* parts = fields.find("prompt", true)) {
         if (!parts->is_array() || parts->empty()) {
-            f.wrong("prompt", "expected a list of parts, {\"type\":\"text\",\"text\":...,\"tokens\":...}");
+            fields.fail("prompt",
+                        "expected a list of parts, {\"type\":\"text\",\"text\":...,\"tokens\":...}");
         } else {
             std::size_t at = 0;
             for (const Json& part : *parts) {
                 const std::string path = "prompt[" + std::to_string(at++) + "]";
                 if (!part.is_object()) {
-                    f.wrong(path, "expected an object");
+                    fields.fail(path, "expected an object");
                     break;
                 }
-                Fields inner(part);
-                a.prompt_tokens += inner.number("tokens", true, 0, kMostTokens);
+                FieldReader inner(part);
+                request.prompt_tokens += inner.number("tokens", true, 0, kMaxTokens);
                 if (const Json* text = inner.find("text", false); text && !text->is_string())
-                    inner.wrong("text", "expected text");
-                if (!inner.trouble().empty()) f.wrong(path + "." + inner.trouble(), "");
+                    inner.fail("text", "expected text");
+                if (!inner.problem().empty()) fields.fail(path + "." + inner.problem(), "");
             }
-            a.prompt = parts->dump(-1, ' ', false, Json::error_handler_t::replace);
+            request.prompt = parts->dump(-1, ' ', false, Json::error_handler_t::replace);
         }
     }
-    if (f.trouble().empty() && a.prompt_tokens < 1) f.wrong("prompt", "its parts hold no tokens");
-    if (a.budget.us <= 0) f.wrong("budgetMs", "expected more than 0");
-    if (a.beginning_tokens > a.prompt_tokens)
-        f.wrong("beginningTokens", "more than the tokens of all parts of the prompt");
-    if (a.beginning_tokens > 0 && a.beginning.empty()) f.wrong("beginning", "is missing, but has tokens");
-    if (!f.trouble().empty()) {
-        std::string what = f.trouble();
+    if (fields.problem().empty() && request.prompt_tokens < 1)
+        fields.fail("prompt", "its parts hold no tokens");
+    if (request.budget.us <= 0) fields.fail("budgetMs", "expected more than 0");
+    if (request.beginning_tokens > request.prompt_tokens)
+        fields.fail("beginningTokens", "more than the tokens of all parts of the prompt");
+    if (request.beginning_tokens > 0 && request.beginning.empty())
+        fields.fail("beginning", "is missing, but has tokens");
+    if (!fields.problem().empty()) {
+        std::string what = fields.problem();
         while (!what.empty() && (what.back() == ' ' || what.back() == ':')) what.pop_back();
         return what;
     }
-    return a;
+    return request;
 }
 
-std::string ask_line(const Id& id, const Ask& a) {
+std::string ask_line(const Id& id, const Ask& request) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + rpc::text_of(id) +
                       ",\"method\":\"generate\",\"params\":{\"prompt\":" +
-                      (a.prompt.empty() ? std::string("[]") : a.prompt);
-    add(out, "category", a.category);
-    add(out, "clientGroup", a.client_group);
-    add(out, "session", a.session);
-    add(out, "beginning", a.beginning);
-    add(out, "mark", a.mark);
-    add(out, "budgetMs", a.budget.ms());
-    add(out, "hintMs", a.hint.ms());
-    add(out, "maxTokens", a.most_tokens);
-    add(out, "beginningTokens", a.beginning_tokens);
-    if (!a.attributes.empty()) {
-        Json held = Json::object();
-        for (const std::string& at : a.attributes)
-            held[at.substr(0, at.find('='))] = at.substr(at.find('=') + 1);
-        out += ",\"attributes\":" + held.dump(-1, ' ', false, Json::error_handler_t::replace);
+                      (request.prompt.empty() ? std::string("[]") : request.prompt);
+    append_field(out, "category", request.category);
+    append_field(out, "clientGroup", request.client_group);
+    append_field(out, "session", request.session);
+    append_field(out, "beginning", request.beginning);
+    append_field(out, "mark", request.mark);
+    append_field(out, "budgetMs", request.budget.ms());
+    append_field(out, "hintMs", request.hint.ms());
+    append_field(out, "maxTokens", request.most_tokens);
+    append_field(out, "beginningTokens", request.beginning_tokens);
+    if (!request.attributes.empty()) {
+        Json attributes = Json::object();
+        for (const std::string& attribute : request.attributes)
+            attributes[attribute.substr(0, attribute.find('='))] = attribute.substr(attribute.find('=') + 1);
+        out += ",\"attributes\":" + attributes.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
-    if (a.again) out += ",\"again\":true";
+    if (request.again) out += ",\"again\":true";
     out += "}}";
     return out;
 }
@@ -204,7 +207,7 @@
     const char* const end = line.data() + line.size() - kTail.size();
     const auto [after, error] = std::from_chars(line.data() + kHead.size(), end, tokens.id);
     const char* const digits = line.data() + kHead.size();
-    // A number with a sign or a leading zero is not as we write it, or not JSON.
+    // tokens_line writes no sign and no leading zero; a leading zero is not JSON either.
     if (error != std::errc() || *digits < '1' || *digits > '9') return std::nullopt;
     const std::string_view rest(after, static_cast<std::size_t>(end - after));
     if (!rest.starts_with(kMiddle)) return std::nullopt;
@@ -218,9 +221,9 @@
     return result(id, {{"tokens", tokens}, {"stopReason", "endTurn"}});
 }
 
-std::string declined_line(const Id& id, std::string_view why, Span stay_away) {
+std::string declined_line(const Id& id, std::string_view why, Span retry_after) {
     Json data = {{"reason", why}};
-    if (stay_away.us > 0) data["stayAwayMs"] = stay_away.ms();
+    if (retry_after.us > 0) data["stayAwayMs"] = retry_after.ms();
     return error(id, kDeclined, "declined", data);
 }
 
@@ -229,41 +232,42 @@
 }
 
 std::variant<Order, std::string> read_order(const Json& params) {
-    Fields f(params);
-    Order o;
-    o.query = f.text("query", true);
-    o.state = f.text("state", false);
-    o.from = f.text("from", false);
-    o.category = f.text("category", false);
-    o.session = f.text("session", false);
-    o.beginning = f.text("beginning", false);
-    o.mark = f.text("mark", false);
-    o.prompt_tokens = f.number("promptTokens", false, 0, kMostTokens);
-    o.beginning_tokens = f.number("beginningTokens", false, 0, kMostTokens);
-    o.most_tokens = f.number("maxTokens", false, 0, kMostTokens);
-    o.limit = f.span("limitMs", false);
-    if (const Json* stream = f.find("stream", false); stream && *stream == false) o.stream = false;
-    if (!f.trouble().empty()) return f.trouble();
-    return o;
+    FieldReader fields(params);
+    Order attempt_request;
+    attempt_request.query = fields.text("query", true);
+    attempt_request.state = fields.text("state", false);
+    attempt_request.from = fields.text("from", false);
+    attempt_request.category = fields.text("category", false);
+    attempt_request.session = fields.text("session", false);
+    attempt_request.beginning = fields.text("beginning", false);
+    attempt_request.mark = fields.text("mark", false);
+    attempt_request.prompt_tokens = fields.number("promptTokens", false, 0, kMaxTokens);
+    attempt_request.beginning_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
+    attempt_request.most_tokens = fields.number("maxTokens", false, 0, kMaxTokens);
+    attempt_request.limit = fields.duration("limitMs", false);
+    if (const Json* stream = fields.find("stream", false); stream && *stream == false)
+        attempt_request.stream = false;
+    if (!fields.problem().empty()) return fields.problem();
+    return attempt_request;
 }
 
-std::string order_line(const Id& id, std::string_view method, const Order& o) {
+std::string order_line(const Id& id, std::string_view method, const Order& attempt_request) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + rpc::text_of(id) + ",\"method\":\"";
     out += method;
     out += "\",\"params\":{\"query\":";
-    append_quoted(out, o.query);
-    add(out, "state", o.state);
-    add(out, "from", o.from);
-    add(out, "category", o.category);
-    add(out, "session", o.session);
-    add(out, "beginning", o.beginning);
-    add(out, "mark", o.mark);
-    add(out, "promptTokens", o.prompt_tokens);
-    add(out, "beginningTokens", o.beginning_tokens);
-    add(out, "maxTokens", o.most_tokens);
-    add(out, "limitMs", o.limit.ms());
-    if (!o.stream) out += ",\"stream\":false";
-    if (!o.prompt.empty()) out += ",\"prompt\":" + o.prompt;
+    append_quoted(out, attempt_request.query);
+    append_field(out, "state", attempt_request.state);
+    append_field(out, "from", attempt_request.from);
+    append_field(out, "category", attempt_request.category);
+    append_field(out, "session", attempt_request.session);
+    append_field(out, "beginning", attempt_request.beginning);
+    append_field(out, "mark", attempt_request.mark);
+    append_field(out, "promptTokens", attempt_request.prompt_tokens);
+    append_field(out, "beginningTokens", attempt_request.beginning_tokens);
+    append_field(out, "maxTokens", attempt_request.most_tokens);
+    append_field(out, "limitMs", attempt_request.limit.ms());
+    if (!attempt_request.stream) out += ",\"stream\":false";
+    if (!attempt_request.prompt.empty()) out += ",\"prompt\":" + attempt_request.prompt;
     out += "}}";
     return out;
 }
@@ -274,16 +278,16 @@
     std::string out =
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":";
     out += rpc::text_of(id);
-    add(out, "reason", why);
+    append_field(out, "reason", why);
     out += "}}";
     return out;
 }
 
-LoadReport read_report(const Json& holder) {
+LoadReport read_report(const Json& object) {
     LoadReport report;
-    if (!holder.is_object()) return report;
-    const auto it = holder.find("load");
-    if (it == holder.end()) return report;
+    if (!object.is_object()) return report;
+    const auto it = object.find("load");
+    if (it == object.end()) return report;
     report.memory_share = number_at(*it, "memoryShare", -1);
     report.unread_thousands = number_at(*it, "unreadThousands", -1);
     return report;
@@ -296,42 +300,43 @@
     return out;
 }
 
-Outcome read_outcome(const Message& answer, bool reading) {
-    Outcome o;
-    o.report = read_report(answer.body);
+Outcome read_outcome(const Message& answer, bool is_prefill) {
+    Outcome outcome;
+    outcome.report = read_report(answer.body);
     if (answer.sort == Sort::result) {
-        // An answer that lacks what it must hold is no answer: the attempt may have run, or not.
-        if (!answer.body.is_object() || number_at(answer.body, reading ? "kept" : "tokens", -1) < 0) return o;
-        o.ending = reading ? Ending::read : Ending::settled;
-        o.kept_tokens = std::max(0.0, number_at(answer.body, "kept"));
-        return o;
+        // A result without its required field counts as an error: the attempt may or may not have run.
+        if (!answer.body.is_object() || number_at(answer.body, is_prefill ? "kept" : "tokens", -1) < 0)
+            return outcome;
+        outcome.ending = is_prefill ? Ending::read : Ending::settled;
+        outcome.kept_tokens = std::max(0.0, number_at(answer.body, "kept"));
+        return outcome;
     }
     if (answer.code == kFull) {
-        o.ending = Ending::full;
+        outcome.ending = Ending::full;
         const auto it = answer.body.is_object() ? answer.body.find("noState") : answer.body.end();
-        o.no_state = it != answer.body.end() && it->is_boolean() && it->get<bool>();
+        outcome.no_state = it != answer.body.end() && it->is_boolean() && it->get<bool>();
     } else {
-        o.ending = answer.code == kExpired ? Ending::late : Ending::error;
+        outcome.ending = answer.code == kExpired ? Ending::late : Ending::error;
     }
-    return o;
+    return outcome;
 }
 
-std::string read_result_line(const Id& id, double kept, const LoadReport& report) {
-    Json body = {{"kept", kept}};
-    add_report(body, report);
+std::string read_result_line(const Id& id, double cached_tokens, const LoadReport& report) {
+    Json body = {{"kept", cached_tokens}};
+    add_load_report(body, report);
     return result(id, body);
 }
 
-std::string write_result_line(const Id& id, double tokens, double kept, const LoadReport& report) {
-    Json body = {{"tokens", tokens}, {"kept", kept}};
-    add_report(body, report);
+std::string write_result_line(const Id& id, double tokens, double cached_tokens, const LoadReport& report) {
+    Json body = {{"tokens", tokens}, {"kept", cached_tokens}};
+    add_load_report(body, report);
     return result(id, body);
 }
 
 std::string full_line(const Id& id, bool no_state, std::string_view why, const LoadReport& report) {
     Json data = {{"reason", why}};
     if (no_state) data["noState"] = true;
-    add_report(data, report);
+    add_load_report(data, report);
     return error(id, kFull, no_state ? "no state to fetch" : "full", data);
 }
 
@@ -345,16 +350,16 @@
 }
 
 std::variant<Hello, std::string> read_hello(const Json& params) {
-    Fields f(params);
+    FieldReader fields(params);
     Hello hello;
-    const Json* info = f.find("clientInfo", true);
+    const Json* info = fields.find("clientInfo", true);
     if (info && info->is_object())
         hello.name = text_at(*info, "name");
     else
-        f.wrong("clientInfo", "expected an object");
-    hello.zone = f.text("zone", false);
-    hello.life = f.text("life", false);
-    if (!f.trouble().empty()) return f.trouble();
+        fields.fail("clientInfo", "expected an object");
+    hello.zone = fields.text("zone", false);
+    hello.life = fields.text("life", false);
+    if (!fields.problem().empty()) return fields.problem();
     return hello;
 }
 
@@ -366,23 +371,23 @@
 
 std::variant<RosterNews, std::string> read_news(const Json& body) {
     if (!body.is_object()) return std::string("expected an object");
-    RosterNews news;
-    Fields f(body);
-    news.version = static_cast<std::uint64_t>(f.number("version", true, 0, 9e15));
-    const std::string how = f.text("how", true);
-    if (how != "whole" && how != "changes") f.wrong("how", "expected \"whole\" or \"changes\"");
-    news.whole = how == "whole";
-    const Json* servers = f.find("servers", true);
-    if (servers && !servers->is_array()) f.wrong("servers", "expected a list");
+    RosterNews update;
+    FieldReader fields(body);
+    update.version = static_cast<std::uint64_t>(fields.number("version", true, 0, 9e15));
+    const std::string how = fields.text("how", true);
+    if (how != "whole" && how != "changes") fields.fail("how", "expected \"whole\" or \"changes\"");
+    update.whole = how == "whole";
+    const Json* servers = fields.find("servers", true);
+    if (servers && !servers->is_array()) fields.fail("servers", "expected a list");
     if (servers && servers->is_array()) {
         std::size_t at = 0;
         for (const Json& entry : *servers) {
             const std::string path = "servers[" + std::to_string(at++) + "]";
             if (!entry.is_object()) {
-                f.wrong(path, "expected an object");
+                fields.fail(path, "expected an object");
                 break;
             }
-            Fields inner(entry);
+            FieldReader inner(entry);
             RosterEntry e;
             e.server = inner.text("server", true);
             e.name = inner.text("name", false);
@@ -390,31 +395,31 @@
             e.zone = inner.text("zone", true);
             e.cell = inner.text("cell", false);
             e.born_ms = static_cast<std::int64_t>(inner.number("bornMs", false, 0, 9e15));
-            const std::string standing = inner.text("standing", true);
-            if (standing != "ready" && standing != "draining" && standing != "gone")
-                inner.wrong("standing", "expected \"ready\", \"draining\" or \"gone\"");
-            e.standing = standing == "ready"      ? Standing::ready
-                         : standing == "draining" ? Standing::draining
-                                                  : Standing::gone;
-            if (!inner.trouble().empty()) f.wrong(path + "." + inner.trouble(), "");
-            news.entries.push_back(std::move(e));
+            const std::string status = inner.text("standing", true);
+            if (status != "ready" && status != "draining" && status != "gone")
+                inner.fail("standing", "expected \"ready\", \"draining\" or \"gone\"");
+            e.standing = status == "ready"      ? Standing::ready
+                         : status == "draining" ? Standing::draining
+                                                : Standing::gone;
+            if (!inner.problem().empty()) fields.fail(path + "." + inner.problem(), "");
+            update.entries.push_back(std::move(e));
         }
     }
-    if (!f.trouble().empty()) return f.trouble();
-    return news;
+    if (!fields.problem().empty()) return fields.problem();
+    return update;
 }
 
-Json news_json(const RosterNews& news) {
+Json news_json(const RosterNews& update) {
     Json servers = Json::array();
-    for (const RosterEntry& e : news.entries)
+    for (const RosterEntry& e : update.entries)
         servers.push_back({{"server", e.server},
                            {"name", e.name},
                            {"kind", e.kind},
                            {"zone", e.zone},
                            {"cell", e.cell},
                            {"bornMs", e.born_ms},
-                           {"standing", text_of(e.standing)}});
-    return {{"version", news.version}, {"how", news.whole ? "whole" : "changes"}, {"servers", servers}};
+                           {"standing", status_text(e.standing)}});
+    return {{"version", update.version}, {"how", update.whole ? "whole" : "changes"}, {"servers", servers}};
 }
 
 }  // namespace copperfront::rpc
--- a/src/rpc/wire.h
+++ b/src/rpc/wire.h
@@ -1,6 +1,7 @@
-// What callers, engines and the roster say to a gateway and to each other, between JSON and our words.
-// Protocol words stay in this package. Names of the Model Context Protocol (2025-06-18) are used where it has
-// one: initialize, ping, notifications/cancelled with requestId. Free of I/O. Docs: docs/protocol.md.
+// Messages that clients, model servers and the roster exchange with a gateway and with each other, converted
+// between JSON and the types of this project. The protocol's names stay in this package. Names of the Model
+// Context Protocol (2025-06-18) are used where it has one: initialize, ping, notifications/cancelled with
+// requestId. Does no I/O. Specification: docs/protocol.md.
 #pragma once
 
 #include <optional>
@@ -28,75 +29,75 @@
 inline constexpr std::string_view kRosterChanged = "notifications/roster/changed";
 inline constexpr std::string_view kProtocolVersion = "2025-06-18";
 
-// Codes of our own, from the range that JSON-RPC leaves to implementations.
-inline constexpr int kDeclined = -32010;     // to a caller: trying again is harmless
-inline constexpr int kGivenUp = -32011;      // to a caller: no answer, and nothing is promised
-inline constexpr int kNotTaken = -32012;     // to a caller: the gateway did not take the query
-inline constexpr int kFull = -32020;         // of an engine: turned away, never ran
-inline constexpr int kExpired = -32021;      // of an engine: its time limit passed first
-inline constexpr int kEngineError = -32022;  // of an engine: it went wrong, and may have run
+// This project's error codes, from the range that JSON-RPC reserves for implementations.
+inline constexpr int kDeclined = -32010;     // to a client: rejected; a retry is safe
+inline constexpr int kGivenUp = -32011;      // to a client: abandoned; may or may not have run
+inline constexpr int kNotTaken = -32012;     // to a client: the gateway did not accept the request
+inline constexpr int kFull = -32020;         // from a server: refused, has not run
+inline constexpr int kExpired = -32021;      // from a server: the time limit passed first
+inline constexpr int kEngineError = -32022;  // from a server: failed, and may have run
 
-// ---- callers
+// ---- clients
 
 struct Ask {
     std::string category, client_group, session, beginning;
-    std::string mark;                     // by which an engine knows a repeat; handed on as it is
-    std::vector<std::string> attributes;  // each as name=value
-    std::string prompt;                   // the parts, as JSON text
+    std::string mark;                     // lets a server recognise a repeat; forwarded unchanged
+    std::vector<std::string> attributes;  // each as "name=value"
+    std::string prompt;                   // the parts of the prompt, as JSON text
     double prompt_tokens = 0, beginning_tokens = 0, most_tokens = 0;
     Span budget, hint;   // hint 0: none
-    bool again = false;  // the caller's own repeat
+    bool again = false;  // a repeat by the client itself
 };
 
-// The second: what is wrong, by field, and what was expected.
+// The second alternative is an error: the field and what was expected.
 std::variant<Ask, std::string> read_ask(const Json& params);
-std::string ask_line(const Id& id, const Ask& ask);
+std::string ask_line(const Id& id, const Ask& request);
 
 std::string tokens_line(const Id& id, std::string_view text);
-// The same without a tree of values, for the message that is by far the most frequent: only lines that are
-// written just as tokens_line writes them, with a number for id and plain text; any other is for parse(). The
-// view is into the line.
+// Fast path without a JSON tree for by far the most frequent message: accepts only lines exactly as
+// tokens_line writes them, with a number as id and text without escapes; all other lines are for parse(). The
+// view points into the line.
 struct PlainTokens {
     std::int64_t id = 0;
     std::string_view text;
 };
 std::optional<PlainTokens> plain_tokens(std::string_view line);
 std::string settled_line(const Id& id, double tokens);
-std::string declined_line(const Id& id, std::string_view why, Span stay_away);
+std::string declined_line(const Id& id, std::string_view why, Span retry_after);
 std::string given_up_line(const Id& id, std::string_view why);
 
-// ---- engines
+// ---- model servers
 
-// What an engine is asked to do: read a prompt and hold its state, or write the answer from a state (or,
-// where it may, from the prompt).
+// What a server is asked to do in one attempt: prefill a prompt and hold its state, or decode the answer from
+// a state (or from the prompt, where that is allowed).
 struct Order {
-    std::string query;  // names the query in the engine's and everybody's records
-    std::string state;  // to hold it under, or to fetch it by; empty: none
-    std::string from;   // write: address of the reader that holds the state
+    std::string query;  // name of the request in the records of servers and gateways
+    std::string state;  // name under which the state is held or fetched; empty: none
+    std::string from;   // decode: address of the prefill server that holds the state
     std::string category, session, beginning, mark, prompt;
     double prompt_tokens = 0, beginning_tokens = 0, most_tokens = 0;
     Span limit;
-    bool stream = true;  // false: the whole text comes with the result
+    bool stream = true;  // false: the result carries the whole text
 };
 std::variant<Order, std::string> read_order(const Json& params);
-std::string order_line(const Id& id, std::string_view method, const Order& order);
+std::string order_line(const Id& id, std::string_view method, const Order& attempt_request);
 
 std::string release_line(std::string_view state);
 std::string cancelled_line(const Id& id, std::string_view why);
 
-// How an attempt ended, by what its engine answered.
-Outcome read_outcome(const Message& answer, bool reading);
-std::string read_result_line(const Id& id, double kept, const LoadReport& report);
-std::string write_result_line(const Id& id, double tokens, double kept, const LoadReport& report);
+// How an attempt ended, according to the answer of its server.
+Outcome read_outcome(const Message& answer, bool is_prefill);
+std::string read_result_line(const Id& id, double cached_tokens, const LoadReport& report);
+std::string write_result_line(const Id& id, double tokens, double cached_tokens, const LoadReport& report);
 std::string full_line(const Id& id, bool no_state, std::string_view why, const LoadReport& report);
-LoadReport read_report(const Json& holder);
+LoadReport read_report(const Json& object);
 Json report_json(const LoadReport& report);
 
-// ---- greetings: who is at the other end
+// ---- initialize: identifies the other end
 
 struct Hello {
     std::string name, zone;
-    std::string life;  // changes with every start of the process
+    std::string life;  // identifies one run of the process; changes at every start
 };
 std::string hello_line(const Id& id, const Hello& hello);
 std::variant<Hello, std::string> read_hello(const Json& params);
@@ -107,7 +108,7 @@
 struct RosterEntry {
     std::string server;  // its address
     std::string name, kind, zone, cell;
-    std::int64_t born_ms = 0;  // since 1970; 0: long ago
+    std::int64_t born_ms = 0;  // start of the process since 1970; 0: long ago
     Standing standing = Standing::ready;
 };
 struct RosterNews {
@@ -116,10 +117,10 @@
     std::vector<RosterEntry> entries;
 };
 std::variant<RosterNews, std::string> read_news(const Json& body);
-Json news_json(const RosterNews& news);
+Json news_json(const RosterNews& update);
 
-// Fields of an object, with an absent value where the field is missing or of another type.
-std::string text_at(const Json& object, const char* name, const std::string& absent = "");
-double number_at(const Json& object, const char* name, double absent = 0);
+// Fields of an object; return `fallback` if the field is missing or has another type.
+std::string text_at(const Json& object, const char* name, const std::string& fallback = "");
+double number_at(const Json& object, const char* name, double fallback = 0);
 
 }  // namespace copperfront::rpc
--- a/src/sexpr/schema.h
+++ b/src/sexpr/schema.h
@@ -1,5 +1,5 @@
-// What a file of forms may hold, as a table: from it come the checks, the errors and the pages that list
-// every key. A file is (HEAD (FORM "name" (KEY VALUE) ...) ...). Free of I/O.
+// The schema of a file of forms, as a table: the checks, the error messages and the reference pages that list
+// every key are derived from it. A file is (HEAD (FORM "name" (KEY VALUE) ...) ...). Does no I/O.
 #pragma once
 
 #include <map>
@@ -16,20 +16,20 @@
 
 struct FormKind {
     const char* name;
-    bool named;   // (FORM "name" ...), no name twice
-    bool many;    // may stand more than once
-    bool needed;  // at least once
-    const char* meaning;
+    bool named;       // (FORM "name" ...); names are unique
+    bool repeatable;  // may occur more than once
+    bool required;    // at least once
+    const char* description;
 };
 
 struct Key {
     const char* form;
     const char* key;
     Type type;
-    const char* fallback;  // as it would be written; null: must be given; "": none
-    double least, most;    // of numbers, and of spans in milliseconds
-    const char* choices;   // of a choice, with blanks between; else the unit
-    const char* meaning;
+    const char* default_value;  // as written in a file; null: the key is required; "": none
+    double min, max;            // bounds of numbers, and of durations in milliseconds
+    const char* choices;        // the values of a choice, separated by blanks; otherwise the unit
+    const char* description;
 };
 
 struct Schema {
@@ -39,21 +39,21 @@
 };
 
 struct Value {
-    std::string text;                // of text and choice
-    std::vector<std::string> texts;  // of texts
+    std::string text;                // of types text and choice
+    std::vector<std::string> texts;  // of type texts
     double number = 0;
     Span span;
     bool flag = false;
-    bool given = false;   // in the file, not by its fallback
-    std::string written;  // as it stands there
+    bool given = false;       // stated in the file, not taken from the default
+    std::string source_text;  // as written in the file
     int line = 0;
 };
 
-// One form as read, with every key of its kind present.
+// One form as read; holds a value for each key of its form.
 struct Sheet {
     std::string form, name;
     int line = 0;
-    bool bad = false;  // a value could not be read, so what depends on it cannot be judged
+    bool invalid = false;  // a value could not be read, so checks that depend on it are skipped
     std::map<std::string, Value> values;
 
     const Value& at(const char* key) const { return values.at(key); }
@@ -62,18 +62,19 @@
     std::size_t whole(const char* key) const { return static_cast<std::size_t>(at(key).number); }
     Span span(const char* key) const { return at(key).span; }
     bool flag(const char* key) const { return at(key).flag; }
-    // The path of forms, as faults name it.
+    // Path of the form, as diagnostics show it.
     std::string path() const { return name.empty() ? form : form + " " + name; }
 };
 
-// All sheets in the file's order; a form that is not there but may stand once comes with its fallbacks. All
-// that is wrong is added to the faults, not only the first.
-std::vector<Sheet> read_sheets(const Form& file, const Schema& schema, std::vector<Fault>& faults);
+// Returns all forms in file order. An unnamed, non-repeatable form that is absent is added with its default
+// values. Adds all errors to `diagnostics`, not only the first.
+std::vector<Sheet> read_sheets(const Form& file, const Schema& schema, std::vector<Fault>& diagnostics);
 
-const Sheet& only(const std::vector<Sheet>& sheets, const char* form);
-std::vector<const Sheet*> all(const std::vector<Sheet>& sheets, const char* form);
+// Returns the first form of that kind; throws std::out_of_range if there is none.
+const Sheet& only(const std::vector<Sheet>& forms, const char* form);
+std::vector<const Sheet*> all(const std::vector<Sheet>& forms, const char* form);
 
-// Every form and key as a page in Markdown.
+// Returns a reference page of all forms and keys, in Markdown.
 std::string describe(const Schema& schema);
 
 }  // namespace copperfront
--- a/src/sexpr/tree.cpp
+++ b/src/sexpr/tree.cpp
@@ -11,69 +11,69 @@
 namespace copperfront {
 namespace {
 
-constexpr int kMostDepth = 24;
+constexpr int kMaxDepth = 24;
 
-// Where each atom and list begins, in the order in which they are read. sfsexp says neither that nor on which
-// line a bracket is missing.
-struct Places {
+// Lines on which atoms and lists begin, in parse order. sfsexp reports neither these nor the line of an
+// unmatched bracket.
+struct AtomLines {
     std::vector<int> lines;
-    bool well = true;
+    bool ok = true;
 };
 
-Places find_places(std::string_view text, std::vector<Fault>& faults) {
-    Places places;
+AtomLines find_lines(std::string_view text, std::vector<Fault>& diagnostics) {
+    AtomLines positions;
     std::vector<int> open;
     int line = 1;
-    bool ended = false;
-    const auto wrong = [&](int at, std::string what) {
-        if (places.well) faults.push_back({at, "", std::move(what)});
-        places.well = false;
+    bool closed = false;
+    const auto fail = [&](int at_line, std::string what) {
+        if (positions.ok) diagnostics.push_back({at_line, "", std::move(what)});
+        positions.ok = false;
     };
-    for (std::size_t i = 0; i < text.size() && places.well; ++i) {
+    for (std::size_t i = 0; i < text.size() && positions.ok; ++i) {
         const char c = text[i];
         if (c == '\n') {
             ++line;
         } else if (c == ';') {
             while (i + 1 < text.size() && text[i + 1] != '\n') ++i;
         } else if (c == '(') {
-            if (ended) wrong(line, "a second form; everything belongs inside the first");
-            places.lines.push_back(line);
+            if (closed) fail(line, "a second form; everything belongs inside the first");
+            positions.lines.push_back(line);
             open.push_back(line);
-            if (open.size() > static_cast<std::size_t>(kMostDepth))
-                wrong(line, "more than " + std::to_string(kMostDepth) + " forms inside each other");
+            if (open.size() > static_cast<std::size_t>(kMaxDepth))
+                fail(line, "more than " + std::to_string(kMaxDepth) + " forms inside each other");
         } else if (c == ')') {
             if (open.empty()) {
-                wrong(line, "a closing bracket too many");
+                fail(line, "a closing bracket too many");
             } else {
                 open.pop_back();
-                ended = open.empty();
+                closed = open.empty();
             }
         } else if (c == '"') {
-            const int from = line;
-            if (open.empty()) wrong(line, "text outside of all brackets");
-            places.lines.push_back(line);
+            const int start_line = line;
+            if (open.empty()) fail(line, "text outside of all brackets");
+            positions.lines.push_back(line);
             for (++i; i < text.size() && text[i] != '"'; ++i) {
                 if (text[i] == '\\') ++i;
                 if (i < text.size() && text[i] == '\n') ++line;
             }
-            if (i >= text.size()) wrong(from, "a quotation mark is never closed");
+            if (i >= text.size()) fail(start_line, "a quotation mark is never closed");
         } else if (c == '\'' || c == '#') {
-            wrong(line, std::string("the character ") + c + " has no meaning here; put text in \"...\"");
+            fail(line, std::string("the character ") + c + " has no meaning here; put text in \"...\"");
         } else if (c != ' ' && c != '\t' && c != '\r') {
-            if (static_cast<unsigned char>(c) < 0x20) wrong(line, "a control character");
-            if (open.empty()) wrong(line, "text outside of all brackets");
-            places.lines.push_back(line);
+            if (static_cast<unsigned char>(c) < 0x20) fail(line, "a control character");
+            if (open.empty()) fail(line, "text outside of all brackets");
+            positions.lines.push_back(line);
             while (i + 1 < text.size() && !std::strchr("() \t\r\n\";", text[i + 1])) ++i;
         }
     }
-    if (places.well && !open.empty()) wrong(open.back(), "this bracket is never closed");
-    if (places.well && places.lines.empty()) wrong(0, "the file holds no form");
-    return places;
+    if (positions.ok && !open.empty()) fail(open.back(), "this bracket is never closed");
+    if (positions.ok && positions.lines.empty()) fail(0, "the file holds no form");
+    return positions;
 }
 
-bool copy(const sexp_t* from, const Places& places, std::size_t& at, Form& to) {
-    if (at >= places.lines.size()) return false;
-    to.line = places.lines[at++];
+bool convert(const sexp_t* from, const AtomLines& positions, std::size_t& at, Form& to) {
+    if (at >= positions.lines.size()) return false;
+    to.line = positions.lines[at++];
     to.is_list = from->ty == SEXP_LIST;
     if (!to.is_list) {
         to.atom = from->val ? std::string(from->val) : std::string();
@@ -81,7 +81,7 @@
     }
     for (const sexp_t* item = from->list; item; item = item->next) {
         to.items.emplace_back();
-        if (!copy(item, places, at, to.items.back())) return false;
+        if (!convert(item, positions, at, to.items.back())) return false;
     }
     return true;
 }
@@ -93,54 +93,55 @@
     return is_list && !items.empty() && !items.front().is_list ? items.front().atom : none;
 }
 
-Form parse_forms(std::string_view text, std::string_view wanted, std::vector<Fault>& faults) {
-    if (const std::size_t zero = text.find('\0'); zero != std::string_view::npos) {
-        faults.push_back({0, "", "not a text file: it holds a zero byte"});
+Form parse_forms(std::string_view text, std::string_view expected_head, std::vector<Fault>& diagnostics) {
+    if (const std::size_t nul = text.find('\0'); nul != std::string_view::npos) {
+        diagnostics.push_back({0, "", "not a text file: it holds a zero byte"});
         return {};
     }
-    const Places places = find_places(text, faults);
-    if (!places.well) return {};
-    std::string own(text);
-    const std::unique_ptr<sexp_t, void (*)(sexp_t*)> raw(parse_sexp(own.data(), own.size()),
+    const AtomLines positions = find_lines(text, diagnostics);
+    if (!positions.ok) return {};
+    std::string buffer(text);
+    const std::unique_ptr<sexp_t, void (*)(sexp_t*)> raw(parse_sexp(buffer.data(), buffer.size()),
                                                          [](sexp_t* tree) { destroy_sexp(tree); });
     Form form;
     std::size_t at = 0;
-    if (!raw || !copy(raw.get(), places, at, form) || at != places.lines.size()) {
-        faults.push_back({0, "", "cannot be read as an S-expression"});
+    if (!raw || !convert(raw.get(), positions, at, form) || at != positions.lines.size()) {
+        diagnostics.push_back({0, "", "cannot be read as an S-expression"});
         return {};
     }
-    if (form.head() != wanted) {
-        faults.push_back({form.line, "",
-                          "expected (" + std::string(wanted) + " ...), found (" +
-                              (form.head().empty() ? "" : form.head()) + " ...)"});
+    if (form.head() != expected_head) {
+        diagnostics.push_back({form.line, "",
+                               "expected (" + std::string(expected_head) + " ...), found (" +
+                                   (form.head().empty() ? "" : form.head()) + " ...)"});
         return {};
     }
     return form;
 }
 
-bool read_file(const std::string& path, std::size_t most, std::string& text, std::vector<Fault>& faults) {
+bool read_file(const std::string& path, std::size_t max_bytes, std::string& text,
+               std::vector<Fault>& diagnostics) {
     const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "rb"), std::fclose);
     if (!file) {
-        faults.push_back({0, "", std::string("cannot be opened: ") + std::strerror(errno)});
+        diagnostics.push_back({0, "", std::string("cannot be opened: ") + std::strerror(errno)});
         return false;
     }
-    text.resize(most + 1);
+    text.resize(max_bytes + 1);
     const std::size_t got = std::fread(text.data(), 1, text.size(), file.get());
     if (std::ferror(file.get())) {
-        faults.push_back({0, "", std::string("cannot be read: ") + std::strerror(errno)});
+        diagnostics.push_back({0, "", std::string("cannot be read: ") + std::strerror(errno)});
         return false;
     }
-    if (got > most) {
-        faults.push_back({0, "", "larger than " + std::to_string(most) + " bytes"});
+    if (got > max_bytes) {
+        diagnostics.push_back({0, "", "larger than " + std::to_string(max_bytes) + " bytes"});
         return false;
     }
     text.resize(got);
     return true;
 }
 
-std::string text_of(const std::string& file, const std::vector<Fault>& faults) {
+std::string text_of(const std::string& file, const std::vector<Fault>& diagnostics) {
     std::string out;
-    for (const Fault& f : faults) {
+    for (const Fault& f : diagnostics) {
         if (!out.empty()) out += '\n';
         out += file + ":";
         if (f.line > 0) out += std::to_string(f.line) + ":";
@@ -153,7 +154,7 @@
 
 std::string nearest(std::string_view name, const std::vector<std::string>& known) {
     std::string best;
-    std::size_t least = std::max<std::size_t>(2, name.size() / 3) + 1;
+    std::size_t best_distance = std::max<std::size_t>(2, name.size() / 3) + 1;
     for (const std::string& candidate : known) {
         std::vector<std::size_t> row(candidate.size() + 1);
         for (std::size_t j = 0; j < row.size(); ++j) row[j] = j;
@@ -166,8 +167,8 @@
                 corner = above;
             }
         }
-        if (row.back() >= least) continue;
-        least = row.back();
+        if (row.back() >= best_distance) continue;
+        best_distance = row.back();
         best = candidate;
     }
     return best;
--- a/src/sexpr/tree.h
+++ b/src/sexpr/tree.h
@@ -1,5 +1,5 @@
-// S-expressions with the lines they stand on, read with sfsexp, which keeps no lines itself. Terms files and
-// day scripts are both read through here. Free of I/O but for read_file.
+// S-expressions with line numbers, parsed with sfsexp, which does not record line numbers itself. Terms files
+// and scenario scripts are parsed with it. Does no I/O except in read_file.
 #pragma once
 
 #include <string>
@@ -11,30 +11,33 @@
 struct Form {
     int line = 0;
     bool is_list = false;
-    std::string atom;         // where it is no list
-    std::vector<Form> items;  // where it is
+    std::string atom;         // if it is not a list
+    std::vector<Form> items;  // if it is a list
 
-    // The first atom of a list: what kind of form it is. Empty: none.
+    // The first atom of a list, which is the kind of the form. Empty if there is none.
     const std::string& head() const;
 };
 
-// One thing wrong with a file.
+// One error in a file.
 struct Fault {
-    int line = 0;      // 0: the file as a whole
-    std::string path;  // of forms, outermost first, such as "category chat / latency-goal"
-    std::string what;  // and what was expected
+    int line = 0;      // 0: concerns the whole file
+    std::string path;  // path of forms, outermost first, such as "category chat / latency-goal"
+    std::string what;  // the error, and what was expected
 };
 
-// One list is expected, `wanted` its head. Faults are added; an empty form is returned where there are any.
-Form parse_forms(std::string_view text, std::string_view wanted, std::vector<Fault>& faults);
+// Parses a text that holds one list with the head `expected_head`. On errors adds diagnostics and returns an
+// empty form.
+Form parse_forms(std::string_view text, std::string_view expected_head, std::vector<Fault>& diagnostics);
 
-// Reads at most `most` bytes. False with a fault where it cannot.
-bool read_file(const std::string& path, std::size_t most, std::string& text, std::vector<Fault>& faults);
+// Reads a file of at most `max_bytes` bytes. Returns false and adds a diagnostic on failure.
+bool read_file(const std::string& path, std::size_t max_bytes, std::string& text,
+               std::vector<Fault>& diagnostics);
 
-// One line a fault: FILE:LINE: PATH: WHAT.
-std::string text_of(const std::string& file, const std::vector<Fault>& faults);
+// One line for each diagnostic: FILE:LINE: PATH: WHAT.
+std::string text_of(const std::string& file, const std::vector<Fault>& diagnostics);
 
-// The name of `known` that is nearest to `name` by single-letter edits; empty where none is near.
+// Returns the name in `known` with the smallest edit distance (Levenshtein) to `name`; empty if none is
+// close.
 std::string nearest(std::string_view name, const std::vector<std::string>& known);
 
 }  // namespace copperfront
