--- a/src/terms/terms_file.cpp
+++ b/src/terms/terms_file.cpp
@@ -8,7 +8,7 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kLargestFile = 4 << 20;
+constexpr std::size_t kMaxFileBytes = 4 << 20;
 constexpr double kDay = 86400000;
 
 constexpr FormKind kForms[] = {
@@ -199,480 +199,505 @@
 
 constexpr const char* kDefault = "default";
 
-// What of a route's limits a sheet states, over those of its parent.
-void state_limits(const Sheet& s, RouteTerms& r) {
-    RouteLimits& l = r.limits;
+// Overrides the limits inherited from the parent with those that the form states.
+void apply_stated_limits(const Sheet& form, RouteTerms& route) {
+    RouteLimits& limits = route.limits;
     const auto stated = [&](const char* key) {
-        if (!s.at(key).given) return false;
-        std::erase_if(r.from, [&](const auto& f) { return f.key == key; });
-        r.from.push_back({key, r.name, s.at(key).written});
+        if (!form.at(key).given) return false;
+        std::erase_if(route.limit_sources, [&](const auto& f) { return f.key == key; });
+        route.limit_sources.push_back({key, route.name, form.at(key).source_text});
         return true;
     };
-    const auto span = [&](const char* key, Span& to) {
-        if (stated(key)) to = s.span(key);
+    const auto set_duration = [&](const char* key, Span& to) {
+        if (stated(key)) to = form.span(key);
     };
-    const auto number = [&](const char* key, double& to) {
-        if (stated(key)) to = s.number(key);
+    const auto set_number = [&](const char* key, double& to) {
+        if (stated(key)) to = form.number(key);
     };
-    const auto whole = [&](const char* key, std::uint32_t& to) {
-        if (stated(key)) to = static_cast<std::uint32_t>(s.number(key));
+    const auto set_count = [&](const char* key, std::uint32_t& to) {
+        if (stated(key)) to = static_cast<std::uint32_t>(form.number(key));
     };
-    const auto flag = [&](const char* key, bool& to) {
-        if (stated(key)) to = s.flag(key);
+    const auto set_flag = [&](const char* key, bool& to) {
+        if (stated(key)) to = form.flag(key);
     };
-    span("connect", l.connect);
-    span("read", l.read);
-    span("hand-over", l.hand_over);
-    span("first-token", l.first_token);
-    span("gap", l.gap);
-    span("whole", l.whole);
-    span("retry-window", l.retry_window);
-    span("stay-away", l.stay_away);
-    whole("most-launches", l.most_attempts);
-    whole("after-unreachable", l.most_after[static_cast<int>(Cause::unreachable)]);
-    whole("after-full", l.most_after[static_cast<int>(Cause::full)]);
-    whole("after-failed", l.most_after[static_cast<int>(Cause::failed)]);
-    whole("after-silent", l.most_after[static_cast<int>(Cause::silent)]);
-    number("retry-share", l.retry_share);
-    number("retry-floor", l.retry_floor);
-    number("rate", l.rate);
-    number("burst", l.burst);
-    number("in-hand", l.in_hand);
-    number("held", l.held);
-    number("prompt-tokens", l.prompt_tokens);
-    number("answer-rate", l.answer_rate);
-    flag("second-copies", l.second_copies);
-    span("second-after", l.second_after);
-    number("second-share", l.second_share);
-    flag("adapts", l.adapts);
-    flag("closed", l.closed);
+    set_duration("connect", limits.connect);
+    set_duration("read", limits.read);
+    set_duration("hand-over", limits.hand_over);
+    set_duration("first-token", limits.first_token);
+    set_duration("gap", limits.gap);
+    set_duration("whole", limits.whole);
+    set_duration("retry-window", limits.retry_window);
+    set_duration("stay-away", limits.stay_away);
+    set_count("most-launches", limits.most_attempts);
+    set_count("after-unreachable", limits.most_after[static_cast<int>(Cause::unreachable)]);
+    set_count("after-full", limits.most_after[static_cast<int>(Cause::full)]);
+    set_count("after-failed", limits.most_after[static_cast<int>(Cause::failed)]);
+    set_count("after-silent", limits.most_after[static_cast<int>(Cause::silent)]);
+    set_number("retry-share", limits.retry_share);
+    set_number("retry-floor", limits.retry_floor);
+    set_number("rate", limits.rate);
+    set_number("burst", limits.burst);
+    set_number("in-hand", limits.in_hand);
+    set_number("held", limits.held);
+    set_number("prompt-tokens", limits.prompt_tokens);
+    set_number("answer-rate", limits.answer_rate);
+    set_flag("second-copies", limits.second_copies);
+    set_duration("second-after", limits.second_after);
+    set_number("second-share", limits.second_share);
+    set_flag("adapts", limits.adapts);
+    set_flag("closed", limits.closed);
 }
 
 class RouteReader {
   public:
-    RouteReader(const std::vector<Sheet>& sheets, GatewayTerms& terms, std::vector<Fault>& faults)
-        : terms_(terms), faults_(faults), allowed_(only(sheets, "allow").flag("second-copies")) {
-        for (const Sheet* s : all(sheets, "route")) {
-            sheets_.emplace(s->name, s);
-            parents_.insert(s->text("parent"));
+    RouteReader(const std::vector<Sheet>& forms, GatewayTerms& terms, std::vector<Fault>& diagnostics)
+        : terms_(terms),
+          diagnostics_(diagnostics),
+          hedging_allowed_(only(forms, "allow").flag("second-copies")) {
+        for (const Sheet* form : all(forms, "route")) {
+            form_by_name_.emplace(form->name, form);
+            parents_.insert(form->text("parent"));
         }
-        RouteTerms first;
-        first.name = kDefault;
-        first.limits.stay_away = terms.core.max_stay_away;
-        if (const auto it = sheets_.find(kDefault); it != sheets_.end()) {
-            first.line = it->second->line;
+        RouteTerms default_route;
+        default_route.name = kDefault;
+        default_route.limits.stay_away = terms.core.max_stay_away;
+        if (const auto it = form_by_name_.find(kDefault); it != form_by_name_.end()) {
+            default_route.line = it->second->line;
             for (const char* key : {"parent", "category", "client-group", "listener", "attributes",
                                     "prompt-from", "prompt-under"})
                 if (it->second->at(key).given)
-                    wrong(*it->second, key, "the default route fits every query and has no parent");
-            state_limits(*it->second, first);
+                    add_error(*it->second, key, "the default route matches every request and has no parent");
+            apply_stated_limits(*it->second, default_route);
         }
-        terms.routes.push_back(first);
-        for (const Sheet* s : all(sheets, "route"))
-            if (s->name != kDefault) add(*s);
-        check_all(sheets);
+        terms.routes.push_back(default_route);
+        for (const Sheet* form : all(forms, "route"))
+            if (form->name != kDefault) add_route(*form);
+        check_fleet_and_default(forms);
         std::vector<RouteMatch> matches;
-        for (const RouteTerms& r : terms.routes) matches.push_back(r.match);
-        if (faults.empty()) terms.table = RouteTable(std::move(matches));
+        for (const RouteTerms& route : terms.routes) matches.push_back(route.match);
+        if (diagnostics.empty()) terms.table = RouteTable(std::move(matches));
     }
 
   private:
-    void wrong(const Sheet& s, const char* key, const std::string& what) {
-        if (!s.bad) faults_.push_back({s.at(key).line, s.path() + " / " + key, what});
+    void add_error(const Sheet& form, const char* key, const std::string& what) {
+        if (!form.invalid) diagnostics_.push_back({form.at(key).line, form.path() + " / " + key, what});
     }
 
-    // Limits as they hold: the parents' first, the nearest last. False: the parents go in a ring, or one is
-    // missing.
-    bool inherit(const Sheet& s, RouteTerms& r) {
-        std::vector<const Sheet*> line;
-        const Sheet* at = &s;
+    // Sets the effective limits: applies those of the ancestors from the farthest to the nearest, then its
+    // own. Returns false if the parents form a cycle or one is missing.
+    bool inherit(const Sheet& form, RouteTerms& route) {
+        std::vector<const Sheet*> lineage;
+        const Sheet* at = &form;
         while (at->name != kDefault) {
-            if (std::find(line.begin(), line.end(), at) != line.end()) {
-                wrong(s, "parent", "its parents go in a ring");
+            if (std::find(lineage.begin(), lineage.end(), at) != lineage.end()) {
+                add_error(form, "parent", "its parents form a cycle");
                 return false;
             }
-            line.push_back(at);
+            lineage.push_back(at);
             const std::string& parent = at->text("parent").empty() ? kDefault : at->text("parent");
             if (parent == kDefault) break;
-            const auto it = sheets_.find(parent);
-            if (it == sheets_.end()) {
-                if (at == &s) {
+            const auto it = form_by_name_.find(parent);
+            if (it == form_by_name_.end()) {
+                if (at == &form) {
                     std::vector<std::string> known;
-                    for (const auto& [name, sheet] : sheets_) known.push_back(name);
-                    const std::string near = nearest(parent, known);
-                    wrong(s, "parent",
-                          "no such route: " + parent + (near.empty() ? "" : "; did you mean " + near + "?"));
+                    for (const auto& [name, route_form] : form_by_name_) known.push_back(name);
+                    const std::string candidate = nearest(parent, known);
+                    add_error(form, "parent",
+                              "no such route: " + parent +
+                                  (candidate.empty() ? "" : "; did you mean " + candidate + "?"));
                 }
                 return false;
             }
             at = it->second;
         }
-        r.limits = terms_.routes.front().limits;
-        r.from = terms_.routes.front().from;
-        const std::string own = r.name;
-        for (auto it = line.rbegin(); it != line.rend(); ++it) {
-            r.name = (*it)->name;
-            state_limits(**it, r);
+        route.limits = terms_.routes.front().limits;
+        route.limit_sources = terms_.routes.front().limit_sources;
+        const std::string own_name = route.name;
+        for (auto it = lineage.rbegin(); it != lineage.rend(); ++it) {
+            route.name = (*it)->name;
+            apply_stated_limits(**it, route);
         }
-        r.name = own;
+        route.name = own_name;
         return true;
     }
 
-    void add(const Sheet& s) {
-        RouteTerms r;
-        r.name = s.name;
-        r.parent = s.text("parent").empty() ? kDefault : s.text("parent");
-        r.line = s.line;
+    void add_route(const Sheet& form) {
+        RouteTerms route;
+        route.name = form.name;
+        route.parent = form.text("parent").empty() ? kDefault : form.text("parent");
+        route.line = form.line;
         const auto condition = [&](const char* key, const Names& names, std::uint32_t& to) {
-            const std::string& wanted = s.text(key);
-            if (wanted.empty()) return;
-            r.asks.push_back(std::string(key) + " " + wanted);
-            if (const std::uint32_t* known = names.find(wanted))
+            const std::string& value = form.text(key);
+            if (value.empty()) return;
+            route.asks.push_back(std::string(key) + " " + value);
+            if (const std::uint32_t* known = names.find(value))
                 to = *known;
             else
-                wrong(s, key, "can never match: no such " + std::string(key) + " in this file: " + wanted);
+                add_error(form, key,
+                          "can never match: no such " + std::string(key) + " in this file: " + value);
         };
-        condition("category", terms_.categories, r.match.category);
-        condition("client-group", terms_.client_groups, r.match.client_group);
-        condition("listener", terms_.listeners, r.match.listener);
-        std::vector<std::string> names_seen;
-        for (const std::string& a : s.at("attributes").texts) {
+        condition("category", terms_.categories, route.match.category);
+        condition("client-group", terms_.client_groups, route.match.client_group);
+        condition("listener", terms_.listeners, route.match.listener);
+        std::vector<std::string> attribute_names;
+        for (const std::string& a : form.at("attributes").texts) {
             const std::size_t eq = a.find('=');
             if (eq == 0 || eq == std::string::npos) {
-                wrong(s, "attributes", "expected \"name=value\", found " + a);
+                add_error(form, "attributes", "expected \"name=value\", found " + a);
                 continue;
             }
-            if (std::find(names_seen.begin(), names_seen.end(), a.substr(0, eq)) != names_seen.end())
-                wrong(s, "attributes", "can never match: " + a.substr(0, eq) + " cannot have two values");
-            names_seen.push_back(a.substr(0, eq));
-            r.match.attributes.push_back(terms_.attributes.index(a));
-            r.asks.push_back(a);
+            if (std::find(attribute_names.begin(), attribute_names.end(), a.substr(0, eq)) !=
+                attribute_names.end())
+                add_error(form, "attributes",
+                          "can never match: " + a.substr(0, eq) + " cannot have two values");
+            attribute_names.push_back(a.substr(0, eq));
+            route.match.attributes.push_back(terms_.attributes.index(a));
+            route.asks.push_back(a);
         }
-        std::sort(r.match.attributes.begin(), r.match.attributes.end());
-        if (s.at("prompt-from").given) r.match.prompt_over = s.number("prompt-from");
-        if (s.at("prompt-under").given) r.match.prompt_under = s.number("prompt-under");
-        if (s.at("prompt-from").given || s.at("prompt-under").given) r.asks.push_back("prompt size");
-        if (r.match.prompt_over >= r.match.prompt_under)
-            wrong(s, "prompt-under", "can never match: no prompt is at least prompt-from and under this");
-        if (r.asks.empty()) {
-            // A route that only others inherit from asks for nothing and is never taken itself.
-            if (!parents_.count(s.name))
-                faults_.push_back(
-                    {s.line, s.path(),
-                     "can never match: it has no condition, and the default route stands for that"});
+        std::sort(route.match.attributes.begin(), route.match.attributes.end());
+        if (form.at("prompt-from").given) route.match.prompt_over = form.number("prompt-from");
+        if (form.at("prompt-under").given) route.match.prompt_under = form.number("prompt-under");
+        if (form.at("prompt-from").given || form.at("prompt-under").given)
+            route.asks.push_back("prompt size");
+        if (route.match.prompt_over >= route.match.prompt_under)
+            add_error(form, "prompt-under",
+                      "can never match: no prompt is at least prompt-from and under this");
+        if (route.asks.empty()) {
+            // A route without conditions that other routes inherit from is never selected itself.
+            if (!parents_.count(form.name))
+                diagnostics_.push_back(
+                    {form.line, form.path(),
+                     "can never match: it has no condition, which is what the default route is for"});
         }
-        const bool well = inherit(s, r);
-        if (well && !r.asks.empty()) {
-            const auto [other, fresh] =
-                seen_.emplace(std::tuple(r.match.category, r.match.client_group, r.match.listener,
-                                         r.match.attributes, r.match.prompt_over, r.match.prompt_under),
-                              terms_.routes.size());
-            if (!fresh)
-                faults_.push_back({s.line, s.path(),
-                                   "can never match: route " + terms_.routes[other->second].name +
-                                       " on line " + std::to_string(terms_.routes[other->second].line) +
-                                       " asks for the same"});
-            check(s, r);
+        const bool inherited = inherit(form, route);
+        if (inherited && !route.asks.empty()) {
+            const auto [other, inserted] = route_by_conditions_.emplace(
+                std::tuple(route.match.category, route.match.client_group, route.match.listener,
+                           route.match.attributes, route.match.prompt_over, route.match.prompt_under),
+                terms_.routes.size());
+            if (!inserted)
+                diagnostics_.push_back({form.line, form.path(),
+                                        "can never match: route " + terms_.routes[other->second].name +
+                                            " on line " + std::to_string(terms_.routes[other->second].line) +
+                                            " has the same conditions"});
+            check_limits(form, route);
         }
-        if (r.asks.empty()) r.match.listener = kAny - 1;  // of no caller
-        terms_.routes.push_back(std::move(r));
+        if (route.asks.empty()) route.match.listener = kAny - 1;  // no client uses this listener
+        terms_.routes.push_back(std::move(route));
     }
 
-    // Against terms that would have a gateway break the rules.
-    void check(const Sheet& s, const RouteTerms& r) {
-        const RouteLimits& l = r.limits;
-        // Whoever states the limit is where it has to be mended; an inherited one is told at the route that
-        // inherits.
-        const auto refuse = [&](const char* key, const std::string& what) {
-            std::string by;
-            for (const auto& [name, route, value] : r.from)
-                if (name == key && route != r.name) by = " (inherited from " + route + ")";
-            wrong(s, key, what + by);
+    // Rejects limits under which a gateway would violate the rules.
+    void check_limits(const Sheet& form, const RouteTerms& route) {
+        const RouteLimits& limits = route.limits;
+        // A limit must be corrected at the route that states it; an error in an inherited limit is reported
+        // at the route that inherits it and names the other one.
+        const auto reject = [&](const char* key, const std::string& what) {
+            std::string origin;
+            for (const auto& [name, stated_by, value] : route.limit_sources)
+                if (name == key && stated_by != route.name) origin = " (inherited from " + stated_by + ")";
+            add_error(form, key, what + origin);
         };
-        Span stop{INT64_MAX};
+        Span deadline{INT64_MAX};
         bool effectful = false;
         for (std::size_t c = 0; c < terms_.core.categories.size(); ++c) {
-            if (r.match.category != kAny && r.match.category != c) continue;
-            stop = std::min(stop, terms_.hard_stops[c]);
-            effectful |= terms_.core.categories[c].effect == Effect::effectful && r.match.category == c;
+            if (route.match.category != kAny && route.match.category != c) continue;
+            deadline = std::min(deadline, terms_.deadlines[c]);
+            effectful |= terms_.core.categories[c].effect == Effect::effectful && route.match.category == c;
         }
         const auto as_ms = [](Span t) { return std::to_string(static_cast<std::int64_t>(t.ms())) + "ms"; };
-        const std::string wait = " than the " + as_ms(stop) + " that its clients wait";
-        if (l.connect >= terms_.bounds.connect_timeout)
-            refuse("connect", "must be shorter than bounds / connect-timeout, " +
+        const std::string deadline_text = " than the " + as_ms(deadline) + " that its clients wait";
+        if (limits.connect >= terms_.bounds.connect_timeout)
+            reject("connect", "must be shorter than bounds / connect-timeout, " +
                                   as_ms(terms_.bounds.connect_timeout) +
-                                  ", after which every launch that waits for the link ends");
-        for (const auto& [stage, within] :
-             {std::pair<const char*, Span>{"read", l.read}, {"first-token", l.first_token}})
-            if (l.connect.us > 0 && within.us > 0 && l.connect >= within)
-                refuse("connect", std::string("must be shorter than ") + stage + ", " + as_ms(within) +
+                                  ", after which every attempt that waits for the connection ends");
+        for (const auto& [stage, timeout] :
+             {std::pair<const char*, Span>{"read", limits.read}, {"first-token", limits.first_token}})
+            if (limits.connect.us > 0 && timeout.us > 0 && limits.connect >= timeout)
+                reject("connect", std::string("must be shorter than ") + stage + ", " + as_ms(timeout) +
                                       ", of which it is a part");
-        if (l.read > stop) refuse("read", "rule 1: longer" + wait);
-        if (l.first_token > stop) refuse("first-token", "rule 1: longer" + wait);
-        if (l.read.us > 0 && l.first_token.us > 0 && l.read + l.hand_over + l.first_token > stop)
-            refuse("first-token", "rule 1: read, hand-over and first-token together are longer" + wait);
-        if (l.second_copies && !allowed_) refuse("second-copies", "allow / second-copies is no");
-        if (l.second_copies && !terms_.core.cancel)
-            refuse("second-copies", "the slower copy has to be called off, but allow / cancel is no");
-        if (l.second_copies && r.match.category != kAny &&
-            terms_.core.categories[r.match.category].effect != Effect::pure)
-            refuse("second-copies", "rule 2: only pure categories may have two launches out at once");
-        if (l.second_after > stop) refuse("second-after", "rule 1: longer" + wait);
-        if (l.hand_over > terms_.core.release_within)
-            refuse("hand-over", "rule 5: longer than rules / release-within, a state would lie pinned");
-        if (l.whole.us > 0 && l.whole < l.first_token) refuse("whole", "shorter than first-token alone");
-        if (l.most_attempts < kAnyNumber && l.most_attempts > terms_.core.max_attempts)
-            refuse("most-launches",
+        if (limits.read > deadline) reject("read", "rule 1: longer" + deadline_text);
+        if (limits.first_token > deadline) reject("first-token", "rule 1: longer" + deadline_text);
+        if (limits.read.us > 0 && limits.first_token.us > 0 &&
+            limits.read + limits.hand_over + limits.first_token > deadline)
+            reject("first-token",
+                   "rule 1: read, hand-over and first-token together are longer" + deadline_text);
+        if (limits.second_copies && !hedging_allowed_) reject("second-copies", "allow / second-copies is no");
+        if (limits.second_copies && !terms_.core.cancel)
+            reject("second-copies", "the slower attempt must be cancelled, but allow / cancel is no");
+        if (limits.second_copies && route.match.category != kAny &&
+            terms_.core.categories[route.match.category].effect != Effect::pure)
+            reject("second-copies", "rule 2: only pure categories may have two attempts in flight at once");
+        if (limits.second_after > deadline) reject("second-after", "rule 1: longer" + deadline_text);
+        if (limits.hand_over > terms_.core.release_within)
+            reject("hand-over", "rule 5: longer than rules / release-within, a state would stay pinned");
+        if (limits.whole.us > 0 && limits.whole < limits.first_token)
+            reject("whole", "shorter than first-token alone");
+        if (limits.most_attempts < kAnyNumber && limits.most_attempts > terms_.core.max_attempts)
+            reject("most-launches",
                    "more than rules / most-launches, " + std::to_string(terms_.core.max_attempts));
         if (effectful)
             for (const char* key : {"after-failed", "after-silent"})
-                for (const auto& [name, route, value] : r.from)
+                for (const auto& [name, stated_by, value] : route.limit_sources)
                     if (name == key &&
-                        l.most_after[static_cast<int>(
+                        limits.most_after[static_cast<int>(
                             key == std::string("after-failed") ? Cause::failed : Cause::silent)] > 0)
-                        refuse(key, "rule 2: an effectful category must never run twice; expected 0");
-        if (!l.closed)
-            for (const auto& [key, value] : {std::pair<const char*, double>{"rate", l.rate},
-                                             {"in-hand", l.in_hand},
-                                             {"held", l.held},
-                                             {"prompt-tokens", l.prompt_tokens},
-                                             {"answer-rate", l.answer_rate}})
-                if (value <= 0) refuse(key, "0 closes the route; say (closed yes) if that is meant");
-        if (l.burst > 0 && l.rate >= kNoLimit) refuse("burst", "has a meaning with a rate only");
-        if ((l.retry_floor > 0) && l.retry_share >= kNoLimit)
-            refuse("retry-floor", "has a meaning with a retry-share only");
-        if (l.stay_away > terms_.core.max_stay_away && terms_.core.max_stay_away.us > 0)
-            refuse("stay-away", "longer than allow / stay-away, which clients honour");
+                        reject(key, "rule 2: an effectful category must never run twice; expected 0");
+        if (!limits.closed)
+            for (const auto& [key, value] : {std::pair<const char*, double>{"rate", limits.rate},
+                                             {"in-hand", limits.in_hand},
+                                             {"held", limits.held},
+                                             {"prompt-tokens", limits.prompt_tokens},
+                                             {"answer-rate", limits.answer_rate}})
+                if (value <= 0) reject(key, "0 closes the route; state (closed yes) if that is intended");
+        if (limits.burst > 0 && limits.rate >= kNoLimit) reject("burst", "applies only with a rate");
+        if ((limits.retry_floor > 0) && limits.retry_share >= kNoLimit)
+            reject("retry-floor", "applies only with a retry-share");
+        if (limits.stay_away > terms_.core.max_stay_away && terms_.core.max_stay_away.us > 0)
+            reject("stay-away", "longer than allow / stay-away, which clients honour");
     }
 
-    void check_all(const std::vector<Sheet>& sheets) {
-        const Sheet& fleet = only(sheets, "fleet");
+    void check_fleet_and_default(const std::vector<Sheet>& forms) {
+        const Sheet& fleet = only(forms, "fleet");
         double sum = 0;
         for (const double q : terms_.core.quotas) sum += q;
         if (fleet.number("queries-a-second") > 0 && sum > fleet.number("queries-a-second"))
-            wrong(fleet, "queries-a-second", "quotas of client groups add up to more than this");
-        const auto it = sheets_.find(kDefault);
-        if (it != sheets_.end()) check(*it->second, terms_.routes.front());
+            add_error(fleet, "queries-a-second", "quotas of client groups add up to more than this");
+        const auto it = form_by_name_.find(kDefault);
+        if (it != form_by_name_.end()) check_limits(*it->second, terms_.routes.front());
     }
 
     GatewayTerms& terms_;
-    std::vector<Fault>& faults_;
-    const bool allowed_;  // second copies
-    std::map<std::string, const Sheet*> sheets_;
+    std::vector<Fault>& diagnostics_;
+    const bool hedging_allowed_;  // hedged attempts
+    std::map<std::string, const Sheet*> form_by_name_;
     std::set<std::string> parents_;
     std::map<
         std::tuple<std::uint32_t, std::uint32_t, std::uint32_t, std::vector<std::uint32_t>, double, double>,
         std::size_t>
-        seen_;
+        route_by_conditions_;
 };
 
 }  // namespace
 
 const Schema& terms_schema() { return kSchema; }
 
-bool read_terms(const std::string& text, const Overrides& over, GatewayTerms& t, std::vector<Fault>& faults) {
-    const Form file = parse_forms(text, kSchema.head, faults);
-    if (!faults.empty()) return false;
-    const std::vector<Sheet> sheets = read_sheets(file, kSchema, faults);
-    // Sense is judged only where every value of a form could be read; the rest would be told twice.
-    const auto wrong = [&](const Sheet& sheet, const char* key, const std::string& what) {
-        if (sheet.bad) return;
-        faults.push_back(
-            {sheet.values.count(key) ? sheet.at(key).line : sheet.line, sheet.path() + " / " + key, what});
+bool read_terms(const std::string& text, const Overrides& overrides, GatewayTerms& terms,
+                std::vector<Fault>& diagnostics) {
+    const Form file = parse_forms(text, kSchema.head, diagnostics);
+    if (!diagnostics.empty()) return false;
+    const std::vector<Sheet> forms = read_sheets(file, kSchema, diagnostics);
+    // Consistency is checked only if all values of a form could be read; otherwise errors would be reported
+    // twice.
+    const auto add_error = [&](const Sheet& form, const char* key, const std::string& what) {
+        if (form.invalid) return;
+        diagnostics.push_back(
+            {form.values.count(key) ? form.at(key).line : form.line, form.path() + " / " + key, what});
     };
-    const auto chosen = [](const std::string& said, const std::string& written) {
-        return said.empty() ? written : said;
+    const auto override_or = [](const std::string& override_value, const std::string& source_text) {
+        return override_value.empty() ? source_text : override_value;
     };
 
-    const Sheet& me = only(sheets, "gateway");
-    t.name = chosen(over.name, me.text("name"));
-    t.zone = chosen(over.zone, me.text("zone"));
-    t.listen = chosen(over.listen, me.text("listen"));
-    t.roster = chosen(over.roster, me.text("roster"));
-    t.state_folder = chosen(over.state_folder, me.text("state-folder"));
-
-    for (const Sheet* zone : all(sheets, "zone")) t.zones.index(zone->name);
-    if (t.zone.empty())
-        wrong(me, "zone", "is missing; expected one of the zones of this file (or --zone)");
-    else if (const std::uint32_t* z = t.zones.find(t.zone))
-        t.core.zone = static_cast<std::uint16_t>(*z);
+    const Sheet& gateway = only(forms, "gateway");
+    terms.name = override_or(overrides.name, gateway.text("name"));
+    terms.zone = override_or(overrides.zone, gateway.text("zone"));
+    terms.listen = override_or(overrides.listen, gateway.text("listen"));
+    terms.roster = override_or(overrides.roster, gateway.text("roster"));
+    terms.state_folder = override_or(overrides.state_folder, gateway.text("state-folder"));
+
+    for (const Sheet* zone : all(forms, "zone")) terms.zones.index(zone->name);
+    if (terms.zone.empty())
+        add_error(gateway, "zone", "is missing; expected one of the zones of this file (or --zone)");
+    else if (const std::uint32_t* z = terms.zones.find(terms.zone))
+        terms.core.zone = static_cast<std::uint16_t>(*z);
     else
-        wrong(me, "zone", "no such zone in this file: " + t.zone);
+        add_error(gateway, "zone", "no such zone in this file: " + terms.zone);
 
-    bool readers = false, writers = false;
-    for (const Sheet* kind : all(sheets, "kind")) {
-        t.kinds.index(kind->name);
+    bool has_prefill_kind = false, has_decode_kind = false;
+    for (const Sheet* kind : all(forms, "kind")) {
+        terms.kinds.index(kind->name);
         const std::string& role = kind->text("role");
-        const Role r = role == "reader" ? Role::reader : role == "writer" ? Role::writer : Role::mixed;
-        readers |= r != Role::writer;
-        writers |= r != Role::reader;
-        t.core.kinds.push_back({r, kind->number("memory-tokens")});
+        const Role kind_role = role == "reader"   ? Role::reader
+                               : role == "writer" ? Role::writer
+                                                  : Role::mixed;
+        has_prefill_kind |= kind_role != Role::writer;
+        has_decode_kind |= kind_role != Role::reader;
+        terms.core.kinds.push_back({kind_role, kind->number("memory-tokens")});
     }
-    if (!t.core.kinds.empty() && !readers)
-        faults.push_back({0, "kind", "no kind reads; expected one with the role reader or mixed"});
-    if (!t.core.kinds.empty() && !writers)
-        faults.push_back({0, "kind", "no kind writes; expected one with the role writer or mixed"});
-
-    const Sheet& rules = only(sheets, "rules");
-    const Sheet& fleet = only(sheets, "fleet");
-    const Sheet& bounds = only(sheets, "bounds");
-    Span shortest{INT64_MAX};
-    for (const Sheet* c : all(sheets, "category")) {
-        t.categories.index(c->name);
+    if (!terms.core.kinds.empty() && !has_prefill_kind)
+        diagnostics.push_back({0, "kind", "no kind reads; expected one with the role reader or mixed"});
+    if (!terms.core.kinds.empty() && !has_decode_kind)
+        diagnostics.push_back({0, "kind", "no kind writes; expected one with the role writer or mixed"});
+
+    const Sheet& rules = only(forms, "rules");
+    const Sheet& fleet = only(forms, "fleet");
+    const Sheet& bounds = only(forms, "bounds");
+    Span shortest_deadline{INT64_MAX};
+    for (const Sheet* form : all(forms, "category")) {
+        terms.categories.index(form->name);
         Category category;
-        const std::string& effect = c->text("effect");
+        const std::string& effect = form->text("effect");
         category.effect = effect == "pure"        ? Effect::pure
                           : effect == "receipted" ? Effect::receipted
                                                   : Effect::effectful;
-        const std::string& group = c->text("group");
+        const std::string& group = form->text("group");
         category.group = group == "all" ? Group::all : group == "zone" ? Group::zone : Group::cell;
-        category.window = c->span("window");
-        category.latency_goal = c->span("latency-goal");
-        category.goal_per_thousand = c->span("goal-per-thousand");
-        category.token_gap = c->span("token-gap");
-        category.stream = c->flag("stream");
-        t.core.categories.push_back(category);
-        t.hard_stops.push_back(c->span("hard-stop"));
-        if (!c->bad) shortest = std::min(shortest, c->span("hard-stop"));
+        category.window = form->span("window");
+        category.latency_goal = form->span("latency-goal");
+        category.goal_per_thousand = form->span("goal-per-thousand");
+        category.token_gap = form->span("token-gap");
+        category.stream = form->flag("stream");
+        terms.core.categories.push_back(category);
+        terms.deadlines.push_back(form->span("hard-stop"));
+        if (!form->invalid) shortest_deadline = std::min(shortest_deadline, form->span("hard-stop"));
         if (category.effect == Effect::receipted && category.window.us <= 0)
-            wrong(*c, "window", "rule 2: a receipted category needs the time for which its marks are known");
+            add_error(*form, "window",
+                      "rule 2: a receipted category needs the time for which its marks are known");
         for (const char* key : {"group", "window"})
-            if (category.effect != Effect::receipted && c->at(key).given)
-                wrong(*c, key, "has a meaning for receipted categories only; this one is " + effect);
-        if (c->span("latency-goal") > c->span("hard-stop"))
-            wrong(*c, "latency-goal", "is longer than the hard stop, after which nobody waits");
+            if (category.effect != Effect::receipted && form->at(key).given)
+                add_error(*form, key, "applies to receipted categories only; this one is " + effect);
+        if (form->span("latency-goal") > form->span("hard-stop"))
+            add_error(*form, "latency-goal", "is longer than the hard stop, after which nobody waits");
     }
-    for (const Sheet* g : all(sheets, "client-group")) {
-        t.client_groups.index(g->name);
-        t.core.quotas.push_back(g->number("quota"));
+    for (const Sheet* form : all(forms, "client-group")) {
+        terms.client_groups.index(form->name);
+        terms.core.quotas.push_back(form->number("quota"));
     }
 
-    t.core.gateways = static_cast<int>(fleet.number("gateways"));
-    t.core.quantum = fleet.span("quantum");
-    t.core.release_within = rules.span("release-within");
-    t.core.start_capacity = rules.number("start-capacity");
-    t.core.tip_multiple = rules.number("tip-multiple");
-    t.core.fall = rules.span("fall");
-    t.core.warm_within = rules.span("warm-within");
-    t.core.max_attempts = static_cast<std::uint32_t>(rules.number("most-launches"));
-    t.drain_grace = rules.span("drain-grace");
-    t.answer_slack = rules.span("answer-slack");
-    if (t.core.quantum * 4 > t.core.release_within)
-        wrong(fleet, "quantum", "rule 5: must be under a quarter of rules / release-within");
-    if (t.core.max_attempts < 2)
-        wrong(rules, "most-launches", "a query needs two launches, one to be read and one to be written");
-
-    const Sheet& allow = only(sheets, "allow");
-    t.core.cancel = allow.flag("cancel");
-    t.core.probes = allow.flag("probes");
-    t.core.peers = allow.flag("peers");
-    t.peer_listen = chosen(over.peer_listen, me.text("peer-listen"));
-    for (const Sheet* peer : all(sheets, "peer"))
-        if (peer->name != t.name) t.peers.push_back(peer->text("at"));
-    if (t.core.peers && t.peer_listen.empty())
-        wrong(me, "peer-listen", "allow / peers is yes; expected a loopback address to hear them on");
-    if (t.core.peers && t.peers.empty())
-        wrong(allow, "peers", "no other gateway is named; expected a form (peer \"name\" (at ...)) for each");
-    if (!t.core.peers && !t.peers.empty())
-        wrong(allow, "peers", "gateways are named as peers, but may not tell each other; expected yes");
-    t.core.probe_fee = allow.number("probe-fee");
-    t.core.writers_read = allow.flag("writers-read");
-    t.core.max_stay_away = allow.span("stay-away");
-    t.core.ask_for_list = allow.flag("ask-for-list");
-
-    const Sheet& reports = only(sheets, "reports");
+    terms.core.gateways = static_cast<int>(fleet.number("gateways"));
+    terms.core.quantum = fleet.span("quantum");
+    terms.core.release_within = rules.span("release-within");
+    terms.core.start_capacity = rules.number("start-capacity");
+    terms.core.tip_multiple = rules.number("tip-multiple");
+    terms.core.fall = rules.span("fall");
+    terms.core.warm_within = rules.span("warm-within");
+    terms.core.max_attempts = static_cast<std::uint32_t>(rules.number("most-launches"));
+    terms.drain_grace = rules.span("drain-grace");
+    terms.answer_slack = rules.span("answer-slack");
+    if (terms.core.quantum * 4 > terms.core.release_within)
+        add_error(fleet, "quantum", "rule 5: must be under a quarter of rules / release-within");
+    if (terms.core.max_attempts < 2)
+        add_error(rules, "most-launches", "a request needs two attempts, one for prefill and one for decode");
+
+    const Sheet& allow = only(forms, "allow");
+    terms.core.cancel = allow.flag("cancel");
+    terms.core.probes = allow.flag("probes");
+    terms.core.peers = allow.flag("peers");
+    terms.peer_listen = override_or(overrides.peer_listen, gateway.text("peer-listen"));
+    for (const Sheet* peer : all(forms, "peer"))
+        if (peer->name != terms.name) terms.peers.push_back(peer->text("at"));
+    if (terms.core.peers && terms.peer_listen.empty())
+        add_error(gateway, "peer-listen",
+                  "allow / peers is yes; expected a loopback address to hear them on");
+    if (terms.core.peers && terms.peers.empty())
+        add_error(allow, "peers",
+                  "no other gateway is named; expected a form (peer \"name\" (at ...)) for each");
+    if (!terms.core.peers && !terms.peers.empty())
+        add_error(allow, "peers",
+                  "gateways are named as peers, but notes between peers are not allowed; expected yes");
+    terms.core.probe_fee = allow.number("probe-fee");
+    terms.core.writers_read = allow.flag("writers-read");
+    terms.core.max_stay_away = allow.span("stay-away");
+    terms.core.ask_for_list = allow.flag("ask-for-list");
+
+    const Sheet& reports = only(forms, "reports");
     const std::string& how = reports.text("how");
-    t.core.reports_by_probe = how == "on-probe";
-    t.core.reports_memory = reports.flag("memory");
-    t.core.reports_unread = reports.flag("unread");
-    if (how == "none" && (t.core.reports_memory || t.core.reports_unread))
-        wrong(reports, "how", "reports have fields but are never made; expected inline or on-probe");
-    if (how == "on-probe" && !t.core.probes)
-        wrong(reports, "how", "reports come on probes, but allow / probes is no");
-    if (how != "none" && !t.core.reports_memory && !t.core.reports_unread)
-        wrong(reports, "how", "reports hold nothing; expected memory or unread to be yes");
-
-    t.learned_parts = fleet.text("parts") == "learned";
-    bool told = how != "none" && t.core.reports_memory;
-    for (const Kind& kind : t.core.kinds) told &= kind.role == Role::reader || kind.memory_tokens > 0;
-    if (t.learned_parts && !told)
-        wrong(fleet, "parts",
-              "learned parts need reports / memory, and memory-tokens of every kind that writes; expected "
-              "even");
-
-    Bounds& b = t.bounds;
-    b.line_bytes = bounds.whole("line-bytes");
-    b.unsent_bytes = bounds.whole("unsent-bytes");
-    b.callers = bounds.whole("callers");
-    b.open_queries = bounds.whole("open-queries");
-    b.queries_a_caller = bounds.whole("queries-a-caller");
-    b.bad_messages = bounds.whole("bad-messages");
-    b.streams_a_link = bounds.whole("streams-a-link");
-    b.caller_silence = bounds.span("caller-silence");
-    b.connect_timeout = t.core.connect_within = bounds.span("connect-timeout");
-    b.idle_link = bounds.span("idle-link");
-    b.ping_after = bounds.span("ping-after");
-    b.engine_silence = bounds.span("engine-silence");
-    b.stop_within = bounds.span("stop-within");
-    b.redial = bounds.span("redial");
-    if (b.line_bytes > b.unsent_bytes)
-        wrong(bounds, "unsent-bytes", "must hold at least one line of line-bytes");
-    if (b.ping_after >= b.engine_silence)
-        wrong(bounds, "ping-after",
-              "must be shorter than engine-silence, or a live engine has no time to answer");
-    if (b.connect_timeout >= shortest)
-        wrong(bounds, "connect-timeout", "rule 1: must be shorter than every hard stop");
-
-    t.listeners.index("main");
-    t.listener_addresses.push_back(t.listen);
-    for (const Sheet* l : all(sheets, "listener")) {
-        if (t.listeners.find(l->name)) wrong(*l, "at", "the name " + l->name + " is taken");
-        t.listeners.index(l->name);
-        t.listener_addresses.push_back(l->text("at"));
+    terms.core.reports_by_probe = how == "on-probe";
+    terms.core.reports_memory = reports.flag("memory");
+    terms.core.reports_unread = reports.flag("unread");
+    if (how == "none" && (terms.core.reports_memory || terms.core.reports_unread))
+        add_error(reports, "how", "reports have fields but are never made; expected inline or on-probe");
+    if (how == "on-probe" && !terms.core.probes)
+        add_error(reports, "how", "reports come on probes, but allow / probes is no");
+    if (how != "none" && !terms.core.reports_memory && !terms.core.reports_unread)
+        add_error(reports, "how", "reports hold nothing; expected memory or unread to be yes");
+
+    terms.learned_shares = fleet.text("parts") == "learned";
+    bool reports_usable = how != "none" && terms.core.reports_memory;
+    for (const Kind& kind : terms.core.kinds)
+        reports_usable &= kind.role == Role::reader || kind.memory_tokens > 0;
+    if (terms.learned_shares && !reports_usable)
+        add_error(
+            fleet, "parts",
+            "learned parts need reports / memory, and memory-tokens of every kind that writes; expected "
+            "even");
+
+    Bounds& limits = terms.bounds;
+    limits.max_line_bytes = bounds.whole("line-bytes");
+    limits.max_unsent_bytes = bounds.whole("unsent-bytes");
+    limits.max_clients = bounds.whole("callers");
+    limits.max_open_requests = bounds.whole("open-queries");
+    limits.max_requests_per_client = bounds.whole("queries-a-caller");
+    limits.max_bad_messages = bounds.whole("bad-messages");
+    limits.max_attempts_per_connection = bounds.whole("streams-a-link");
+    limits.client_idle_timeout = bounds.span("caller-silence");
+    limits.connect_timeout = terms.core.connect_within = bounds.span("connect-timeout");
+    limits.connection_idle_timeout = bounds.span("idle-link");
+    limits.ping_after = bounds.span("ping-after");
+    limits.server_silence_timeout = bounds.span("engine-silence");
+    limits.shutdown_timeout = bounds.span("stop-within");
+    limits.roster_reconnect_delay = bounds.span("redial");
+    if (limits.max_line_bytes > limits.max_unsent_bytes)
+        add_error(bounds, "unsent-bytes", "must hold at least one line of line-bytes");
+    if (limits.ping_after >= limits.server_silence_timeout)
+        add_error(bounds, "ping-after",
+                  "must be shorter than engine-silence, or a live server has no time to answer");
+    if (limits.connect_timeout >= shortest_deadline)
+        add_error(bounds, "connect-timeout", "rule 1: must be shorter than every hard stop");
+
+    terms.listeners.index("main");
+    terms.listener_addresses.push_back(terms.listen);
+    for (const Sheet* form : all(forms, "listener")) {
+        if (terms.listeners.find(form->name)) add_error(*form, "at", "the name " + form->name + " is taken");
+        terms.listeners.index(form->name);
+        terms.listener_addresses.push_back(form->text("at"));
     }
-    RouteReader(sheets, t, faults);
+    RouteReader(forms, terms, diagnostics);
 
-    const Sheet& trace = only(sheets, "trace");
-    t.trace.folder = chosen(over.trace_folder, trace.text("folder"));
-    trace::KeepingTerms& keeping = t.trace.keeping;
+    const Sheet& trace = only(forms, "trace");
+    terms.trace.folder = override_or(overrides.trace_folder, trace.text("folder"));
+    trace::KeepingTerms& keeping = terms.trace.keeping;
     keeping.file_bytes = trace.whole("file-bytes");
     keeping.file_age = trace.span("file-age");
     keeping.folder_bytes = trace.whole("folder-bytes");
     keeping.hand_over = trace.span("hand-over");
     keeping.sync = trace.span("sync");
     if (keeping.folder_bytes < 2 * keeping.file_bytes)
-        wrong(trace, "folder-bytes",
-              "must hold two files of file-bytes, the one that is written and one that is whole");
+        add_error(trace, "folder-bytes",
+                  "must hold two files of file-bytes, the one being written and one that is complete");
 
-    const Sheet& log = only(sheets, "log");
-    t.logging = {chosen(over.log_level, log.text("level")), chosen(over.log_form, log.text("form")),
-                 chosen(over.log_file, log.text("file")), log.whole("file-bytes"), log.whole("files")};
+    const Sheet& log = only(forms, "log");
+    terms.logging = {override_or(overrides.log_level, log.text("level")),
+                     override_or(overrides.log_form, log.text("form")),
+                     override_or(overrides.log_file, log.text("file")), log.whole("file-bytes"),
+                     log.whole("files")};
 
-    std::stable_sort(faults.begin(), faults.end(),
+    std::stable_sort(diagnostics.begin(), diagnostics.end(),
                      [](const Fault& a, const Fault& c) { return a.line < c.line; });
-    return faults.empty();
+    return diagnostics.empty();
 }
 
 bool read_terms_file(const std::string& path, const Overrides& overrides, GatewayTerms& terms,
-                     std::vector<Fault>& faults) {
+                     std::vector<Fault>& diagnostics) {
     std::string text;
-    return read_file(path, kLargestFile, text, faults) && read_terms(text, overrides, terms, faults);
+    return read_file(path, kMaxFileBytes, text, diagnostics) &&
+           read_terms(text, overrides, terms, diagnostics);
 }
 
 std::string effective_text(const GatewayTerms& terms) {
     std::string out;
-    for (const RouteTerms& r : terms.routes) {
-        out += "route " + r.name;
-        if (r.name != kDefault) {
-            out += ", parent " + r.parent + ", asks for ";
-            for (std::size_t n = 0; n < r.asks.size(); ++n) out += (n > 0 ? " and " : "") + r.asks[n];
-            if (r.asks.empty()) out += "nothing: only others inherit from it";
+    for (const RouteTerms& route : terms.routes) {
+        out += "route " + route.name;
+        if (route.name != kDefault) {
+            out += ", parent " + route.parent + ", asks for ";
+            for (std::size_t n = 0; n < route.asks.size(); ++n) out += (n > 0 ? " and " : "") + route.asks[n];
+            if (route.asks.empty()) out += "nothing: only others inherit from it";
         } else {
             out += ", fits every query";
         }
         out += "\n";
-        for (const auto& [key, from, value] : r.from)
-            out += "  " + key + " " + value + (from == r.name ? "" : " (from " + from + ")") + "\n";
+        for (const auto& [key, stated_by, value] : route.limit_sources)
+            out += "  " + key + " " + value + (stated_by == route.name ? "" : " (from " + stated_by + ")") +
+                   "\n";
     }
     return out;
 }
--- a/src/terms/terms_file.h
+++ b/src/terms/terms_file.h
@@ -1,5 +1,5 @@
-// The terms file: what a gateway is started with, checked as a whole before anything starts. One file serves
-// all gateways of a fleet; what differs between them can be named on the command line.
+// The terms file: the configuration of a gateway, checked as a whole before anything starts. One file serves
+// all gateways of a fleet; values that differ between them can be set on the command line.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,13 @@
 
 namespace copperfront {
 
-// Bounds on what peers may cost. None of them decides about a query that keeps to them.
+// Bounds on the resources that peers may use. They do not influence how a request within them is routed.
 struct Bounds {
-    std::size_t line_bytes = 0, unsent_bytes = 0;
-    std::size_t callers = 0, open_queries = 0, queries_a_caller = 0;
-    std::size_t streams_a_link = 0, bad_messages = 0;
-    Span caller_silence, connect_timeout, idle_link, ping_after, engine_silence, stop_within, redial;
+    std::size_t max_line_bytes = 0, max_unsent_bytes = 0;
+    std::size_t max_clients = 0, max_open_requests = 0, max_requests_per_client = 0;
+    std::size_t max_attempts_per_connection = 0, max_bad_messages = 0;
+    Span client_idle_timeout, connect_timeout, connection_idle_timeout, ping_after, server_silence_timeout,
+        shutdown_timeout, roster_reconnect_delay;
 };
 
 struct Logging {
@@ -27,45 +28,45 @@
     std::size_t file_bytes = 0, files = 0;
 };
 
-// Where traces go; an empty folder: none are kept.
+// Where traces are written. With an empty folder name no trace is written.
 struct Tracing {
     std::string folder;
     trace::KeepingTerms keeping;
 };
 
-// One route with what it asks for and, after inheritance, what holds on it.
+// One route with its conditions and, after inheritance, its effective limits.
 struct RouteTerms {
     std::string name, parent;
     RouteMatch match;
     RouteLimits limits;
     int line = 0;
-    std::vector<std::string> asks;  // its conditions, as people read them
-    struct Stated {
-        std::string key, route, value;  // the route that states it, and the value as it is written there
+    std::vector<std::string> asks;  // its conditions as text, for error messages and listings
+    struct StatedLimit {
+        std::string key, route, value;  // the route that states it, and the value as written there
     };
-    std::vector<Stated> from;
+    std::vector<StatedLimit> limit_sources;
 };
 
 struct GatewayTerms {
     std::string name, zone, listen, roster, state_folder, peer_listen;
-    std::vector<std::string> peers;  // addresses for notes, without this gateway's own
+    std::vector<std::string> peers;  // addresses for peer notes, without this gateway's own
     Terms core;
     Names zones, kinds, categories, client_groups;
-    std::vector<Span> hard_stops;  // by category: the longest that its callers wait
+    std::vector<Span> deadlines;  // by category: how long its clients wait at most
     Bounds bounds;
     Logging logging;
     Tracing trace;
-    // The first is the default route, which fits every query.
+    // The first is the default route, which matches every request.
     std::vector<RouteTerms> routes;
     RouteTable table;
-    Names listeners, attributes;  // 0 of the listeners: that of the gateway's own form
+    Names listeners, attributes;  // listener 0 is that of the gateway's own form
     std::vector<std::string> listener_addresses;
-    // Figures of the rules that the module has no use for, but the audit has.
+    // Values of the rules that only the audit uses, not the router.
     Span drain_grace, answer_slack;
-    bool learned_parts = false;  // of what is stated for the fleet; else even ones
+    bool learned_shares = false;  // limits stated for the fleet are divided by learned shares; else evenly
 };
 
-// What may be said on the command line in the file's place.
+// Values that the command line may give instead of the file.
 struct Overrides {
     std::string name, zone, listen, roster, state_folder, trace_folder, log_level, log_form, log_file,
         peer_listen;
@@ -73,13 +74,13 @@
 
 const Schema& terms_schema();
 
-// Each route's conditions and limits after inheritance, with the route that each limit comes from.
+// Returns each route's conditions and effective limits, with the route that states each limit.
 std::string effective_text(const GatewayTerms& terms);
 
-// True if all is well; else the faults hold everything that is wrong.
+// Return true on success; otherwise `diagnostics` holds all errors.
 bool read_terms(const std::string& text, const Overrides& overrides, GatewayTerms& terms,
-                std::vector<Fault>& faults);
+                std::vector<Fault>& diagnostics);
 bool read_terms_file(const std::string& path, const Overrides& overrides, GatewayTerms& terms,
-                     std::vector<Fault>& faults);
+                     std::vector<Fault>& diagnostics);
 
 }  // namespace copperfront
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -1,5 +1,5 @@
-// The gateway on real sockets with callers that misbehave: each is told, nobody else notices, and every query
-// that was taken gets exactly one final answer.
+// The gateway on real sockets with misbehaving clients: each gets an error, other clients are not affected,
+// and every accepted request gets exactly one final answer.
 #include "gateway/gateway.h"
 
 #include <cassert>
@@ -25,40 +25,42 @@
   (bounds (line-bytes 4096) (unsent-bytes 20000) (callers 3) (queries-a-caller 2) (bad-messages 3)
     (caller-silence 300ms) (stop-within 1s))))";
 
-// A caller that keeps every line that it is sent.
-struct Caller : Link::Owner {
-    std::unique_ptr<Link> link;
+// A client that records every line that it receives.
+struct Client : Link::Owner {
+    std::unique_ptr<Link> connection;
     Loop& loop;
-    std::vector<rpc::Message> heard;
+    std::vector<rpc::Message> received;
     bool closed = false;
 
-    Caller(Loop& l, const Address& to) : loop(l) { link = Link::dial(l, to, {1 << 20, 16 << 20}, *this); }
-    ~Caller() override { Link::hand_off(loop, std::move(link), false); }
+    Client(Loop& l, const Address& to) : loop(l) {
+        connection = Link::dial(l, to, {1 << 20, 16 << 20}, *this);
+    }
+    ~Client() override { Link::hand_off(loop, std::move(connection), false); }
     void line_came(Link&, std::string_view line) override {
         auto parsed = rpc::parse(line);
-        heard.push_back(std::get<rpc::Message>(parsed));
+        received.push_back(std::get<rpc::Message>(parsed));
     }
     void link_closed(Link&, Closing, const std::string&) override { closed = true; }
     std::size_t count(rpc::Sort sort, const rpc::Id& id) const {
         std::size_t n = 0;
-        for (const auto& m : heard) n += m.sort == sort && m.id == id;
+        for (const auto& m : received) n += m.sort == sort && m.id == id;
         return n;
     }
-    std::size_t finals(std::int64_t id) const {
+    std::size_t final_answers(std::int64_t id) const {
         return count(rpc::Sort::result, rpc::Id{id}) + count(rpc::Sort::error, rpc::Id{id});
     }
 };
 
-struct World {
+struct TestFleet {
     Loop loop;
     Log log{"error", "json", "", 1 << 20, 1};
     standin::EngineServer reader, writer;
     standin::RosterServer roster;
     std::unique_ptr<Gateway> gateway;
-    Timer give_up{loop, [] {
-                      std::fprintf(stderr, "the story does not end\n");
-                      std::abort();
-                  }};
+    Timer watchdog{loop, [] {
+                       std::fprintf(stderr, "the test did not finish within 20 s\n");
+                       std::abort();
+                   }};
 
     static standin::EngineShape shape(Role role, double step_ms) {
         standin::EngineShape s;
@@ -73,7 +75,7 @@
         i.zone = "z";
         return i;
     }
-    explicit World(const std::string& state = "", double step_ms = 2, const std::string& with = kTerms)
+    explicit TestFleet(const std::string& state = "", double step_ms = 2, const std::string& with = kTerms)
         : reader(loop, shape(Role::reader, 2), identity("r")),
           writer(loop, shape(Role::writer, step_ms), identity("w")),
           roster(loop, {}),
@@ -82,51 +84,51 @@
                        {writer.address().text(), "w", "writer", "z", "a", 0, Standing::ready}});
         start(state);
     }
-    const std::string text;  // of its terms
+    const std::string text;  // text of the terms file
 
     void start(const std::string& state) {
         GatewayTerms terms;
-        std::vector<Fault> faults;
-        Overrides o;
-        o.roster = roster.address().text();
-        o.state_folder = state;
-        const bool well = read_terms(text, o, terms, faults);
+        std::vector<Fault> diagnostics;
+        Overrides overrides;
+        overrides.roster = roster.address().text();
+        overrides.state_folder = state;
+        const bool well = read_terms(text, overrides, terms, diagnostics);
         assert(well);
         gateway = std::make_unique<Gateway>(loop, terms, 5, log);
     }
     template <class Done>
     void run(Done done) {
-        give_up.set(ms(20000));
-        Timer look(loop, [&] {
+        watchdog.set(ms(20000));
+        Timer poll(loop, [&] {
             if (done()) return loop.stop();
-            look.set(ms(3));
+            poll.set(ms(3));
         });
-        look.set(ms(0));
+        poll.set(ms(0));
         loop.run();
-        give_up.off();
+        watchdog.off();
     }
 };
 
-rpc::Ask ask(const char* category = "help") {
-    rpc::Ask a;
-    a.category = category;
-    a.prompt = R"([{"type":"text","text":"x","tokens":100}])";
-    a.prompt_tokens = 100;
-    a.most_tokens = 20;
-    a.budget = ms(2000);
-    return a;
+rpc::Ask make_request(const char* category = "help") {
+    rpc::Ask request;
+    request.category = category;
+    request.prompt = R"([{"type":"text","text":"x","tokens":100}])";
+    request.prompt_tokens = 100;
+    request.most_tokens = 20;
+    request.budget = ms(2000);
+    return request;
 }
 
-void a_query_is_settled_and_a_whole_answer_comes_in_one_piece() {
-    World w;
-    Caller c(w.loop, w.gateway->address());
-    w.run([&] { return w.gateway->desk().attempts_out() == 0; });
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, ask("whole")));
-    w.run([&] { return c.finals(1) == 1 && c.finals(2) == 1; });
-    assert(c.heard.back().sort == rpc::Sort::result);
+void a_request_completes_and_an_unstreamed_answer_comes_in_one_piece() {
+    TestFleet fleet;
+    Client c(fleet.loop, fleet.gateway->address());
+    fleet.run([&] { return fleet.gateway->desk().attempts_out() == 0; });
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, make_request("whole")));
+    fleet.run([&] { return c.final_answers(1) == 1 && c.final_answers(2) == 1; });
+    assert(c.received.back().sort == rpc::Sort::result);
     std::size_t tokens = 0;
-    for (const auto& m : c.heard) {
+    for (const auto& m : c.received) {
         if (m.sort == rpc::Sort::notice) tokens += m.body["requestId"] == 1;
         if (m.sort == rpc::Sort::notice) assert(m.body["requestId"] != 2);
         if (m.id == rpc::Id{std::int64_t{1}}) assert(m.body["tokens"] == tokens);
@@ -134,105 +136,108 @@
     }
 }
 
-// Against ids used twice: an error under that id would look like the open query's final answer.
-void an_id_in_use_is_refused_without_naming_it() {
-    World w;
-    Caller c(w.loop, w.gateway->address());
-    for (int n = 0; n < 2; ++n) c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] { return c.finals(1) == 1 && c.count(rpc::Sort::error, rpc::Id{}) == 1; });
+// Guards against an id that is used twice: an error under that id would look like the open request's final
+// answer.
+void an_id_in_use_is_rejected_without_naming_it() {
+    TestFleet fleet;
+    Client c(fleet.loop, fleet.gateway->address());
+    for (int n = 0; n < 2; ++n) c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] { return c.final_answers(1) == 1 && c.count(rpc::Sort::error, rpc::Id{}) == 1; });
     assert(c.count(rpc::Sort::result, rpc::Id{std::int64_t{1}}) == 1);
 }
 
-void bounds_on_a_caller_are_kept() {
-    World w;
-    Caller c(w.loop, w.gateway->address());
-    for (std::int64_t id = 1; id <= 3; ++id) c.link->send(rpc::ask_line(rpc::Id{id}, ask()));
-    w.run([&] { return c.finals(1) + c.finals(2) + c.finals(3) == 3; });
-    for (const auto& m : c.heard)
+void bounds_on_a_client_are_enforced() {
+    TestFleet fleet;
+    Client c(fleet.loop, fleet.gateway->address());
+    for (std::int64_t id = 1; id <= 3; ++id) c.connection->send(rpc::ask_line(rpc::Id{id}, make_request()));
+    fleet.run([&] { return c.final_answers(1) + c.final_answers(2) + c.final_answers(3) == 3; });
+    for (const auto& m : c.received)
         if (m.id == rpc::Id{std::int64_t{3}}) assert(m.code == rpc::kNotTaken);
-    Caller unknown(w.loop, w.gateway->address());
-    unknown.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask("nonsense")));
-    w.run([&] { return unknown.finals(1) == 1; });
-    assert(unknown.heard.back().body["reason"] == "unknown category nonsense");
-    // A long line, and too many bad ones: told and cut off.
-    Caller longer(w.loop, w.gateway->address());
-    longer.link->send(std::string(8000, 'x'));
-    w.run([&] { return longer.closed; });
-    Caller noisy(w.loop, w.gateway->address());
-    for (int n = 0; n < 10; ++n) noisy.link->send("noise");
-    w.run([&] { return noisy.closed; });
+    Client unknown(fleet.loop, fleet.gateway->address());
+    unknown.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request("nonsense")));
+    fleet.run([&] { return unknown.final_answers(1) == 1; });
+    assert(unknown.received.back().body["reason"] == "unknown category nonsense");
+    // A line that is too long, and too many invalid lines: the client gets errors and is disconnected.
+    Client longer(fleet.loop, fleet.gateway->address());
+    longer.connection->send(std::string(8000, 'x'));
+    fleet.run([&] { return longer.closed; });
+    Client noisy(fleet.loop, fleet.gateway->address());
+    for (int n = 0; n < 10; ++n) noisy.connection->send("noise");
+    fleet.run([&] { return noisy.closed; });
     assert(noisy.count(rpc::Sort::error, rpc::Id{}) == 3);
-    // Silence: closed, but never while a query is open.
-    Caller silent(w.loop, w.gateway->address());
-    w.run([&] { return silent.closed; });
+    // A silent client without an open request is disconnected.
+    Client silent(fleet.loop, fleet.gateway->address());
+    fleet.run([&] { return silent.closed; });
 }
 
-void too_many_callers_are_turned_away() {
-    World w;
-    Caller a(w.loop, w.gateway->address()), b(w.loop, w.gateway->address()), c(w.loop, w.gateway->address());
-    // All three have been taken in once the last has been answered.
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] { return c.finals(1) == 1; });
-    Caller d(w.loop, w.gateway->address());
-    w.run([&] { return d.closed; });
-    assert(d.heard.size() == 1 && d.heard[0].code == rpc::kNotTaken);
+void clients_beyond_the_limit_are_refused() {
+    TestFleet fleet;
+    Client a(fleet.loop, fleet.gateway->address()), b(fleet.loop, fleet.gateway->address()),
+        c(fleet.loop, fleet.gateway->address());
+    // All three connections are accepted once the last one has its answer.
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] { return c.final_answers(1) == 1; });
+    Client d(fleet.loop, fleet.gateway->address());
+    fleet.run([&] { return d.closed; });
+    assert(d.received.size() == 1 && d.received[0].code == rpc::kNotTaken);
 }
 
-// Against a caller that never reads: what waits for it is bounded, and its query ends.
-void a_caller_that_never_reads_is_cut_off() {
-    // Time enough also where the flood and the gateway share a small part of a core.
-    constexpr Span kPatience = ms(15000);
+// Guards against a client that never reads: its unsent bytes are bounded, and its request ends.
+void a_client_that_never_reads_is_disconnected() {
+    // Long enough even if the flood and the gateway share a small fraction of a core.
+    constexpr Span kTimeBudget = ms(15000);
     std::string terms = kTerms;
     const std::string usual = R"("help" (latency-goal 1s) (hard-stop 2s))";
     terms.replace(terms.find(usual), usual.size(), R"("help" (latency-goal 15s) (hard-stop 15s))");
-    World w("", 0.05, terms);  // fast enough to fill what the kernel holds for a socket
-    Caller c(w.loop, w.gateway->address());
-    rpc::Ask big = ask(), usual_ask = ask();
-    big.budget = usual_ask.budget = kPatience;
+    TestFleet fleet("", 0.05, terms);  // fast enough to fill the kernel's socket buffers
+    Client c(fleet.loop, fleet.gateway->address());
+    rpc::Ask big = make_request(), usual_request = make_request();
+    big.budget = usual_request.budget = kTimeBudget;
     big.most_tokens = 1e6;
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, big));
-    w.run([&] { return !c.heard.empty(); });
-    c.link->pause_reading(true);
-    Caller other(w.loop, w.gateway->address());
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, big));
+    fleet.run([&] { return !c.received.empty(); });
+    c.connection->pause_reading(true);
+    Client other(fleet.loop, fleet.gateway->address());
     std::int64_t id = 0;
-    w.run([&] {
-        if (id == 0 || other.finals(id) == 1) other.link->send(rpc::ask_line(rpc::Id{++id}, usual_ask));
-        return w.gateway->desk().tally().left == 1 && other.finals(1) == 1;
+    fleet.run([&] {
+        if (id == 0 || other.final_answers(id) == 1)
+            other.connection->send(rpc::ask_line(rpc::Id{++id}, usual_request));
+        return fleet.gateway->desk().tally().left == 1 && other.final_answers(1) == 1;
     });
     const bool served = other.count(rpc::Sort::result, rpc::Id{std::int64_t{1}}) == 1;
-    for (const auto& heard : other.heard) {
-        if (!served) std::fprintf(stderr, "%d %s\n", heard.code, heard.body.dump().c_str());
+    for (const auto& received : other.received) {
+        if (!served) std::fprintf(stderr, "%d %s\n", received.code, received.body.dump().c_str());
     }
-    assert(served);  // nobody else noticed
+    assert(served);  // other clients are not affected
 }
 
-void a_cancelled_query_gets_no_answer() {
-    World w;
-    Caller c(w.loop, w.gateway->address());
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    c.link->send(rpc::cancelled_line(rpc::Id{std::int64_t{1}}, "left"));
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, ask()));
-    w.run([&] { return c.finals(2) == 1; });
-    assert(c.finals(1) == 0);
+void a_cancelled_request_gets_no_answer() {
+    TestFleet fleet;
+    Client c(fleet.loop, fleet.gateway->address());
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    c.connection->send(rpc::cancelled_line(rpc::Id{std::int64_t{1}}, "left"));
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, make_request()));
+    fleet.run([&] { return c.final_answers(2) == 1; });
+    assert(c.final_answers(1) == 0);
 }
 
-// SIGTERM: nothing new, what is open ends, and only then the connections close.
-void a_stop_lets_open_queries_end() {
-    World w;
-    Caller c(w.loop, w.gateway->address());
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] { return w.gateway->desk().open_queries() == 1; });
-    w.gateway->stop();
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, ask()));
-    w.run([&] { return c.closed; });
-    assert(c.finals(1) == 1 && c.finals(2) == 1);
-    for (const auto& m : c.heard) {
+// As on SIGTERM: no new requests are accepted, open requests end, and only then the connections close.
+void shutdown_lets_open_requests_end() {
+    TestFleet fleet;
+    Client c(fleet.loop, fleet.gateway->address());
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] { return fleet.gateway->desk().open_queries() == 1; });
+    fleet.gateway->stop();
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, make_request()));
+    fleet.run([&] { return c.closed; });
+    assert(c.final_answers(1) == 1 && c.final_answers(2) == 1);
+    for (const auto& m : c.received) {
         if (m.id == rpc::Id{std::int64_t{1}}) assert(m.sort == rpc::Sort::result);
         if (m.id == rpc::Id{std::int64_t{2}}) assert(m.code == rpc::kNotTaken);
     }
 }
 
-std::string terms_with(const std::string& more) {
+std::string terms_with_forms(const std::string& more) {
     std::string text = kTerms;
     return text.substr(0, text.rfind(')')) + more + ")";
 }
@@ -243,329 +248,338 @@
     return folder;
 }
 
-void a_route_over_its_limit_declines_at_once_and_others_go_on() {
-    World w;
+void a_route_over_its_limit_rejects_at_once_and_others_continue() {
+    TestFleet fleet;
     const std::string folder = temporary_folder(), file = folder + "/x.terms";
-    Overrides o;
-    o.roster = w.roster.address().text();
-    write(file, terms_with(R"((route "web" (attributes "app=web") (in-hand 1)))"));
-    assert(w.gateway->reload(file, o) && w.gateway->generation() == 2);
-    Caller c(w.loop, w.gateway->address());
-    rpc::Ask web = ask();
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
+    write(file, terms_with_forms(R"((route "web" (attributes "app=web") (in-hand 1)))"));
+    assert(fleet.gateway->reload(file, overrides) && fleet.gateway->generation() == 2);
+    Client c(fleet.loop, fleet.gateway->address());
+    rpc::Ask web = make_request();
     web.attributes = {"app=web", "other=1"};
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, web));
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, web));
-    w.run([&] { return c.finals(1) == 1 && c.finals(2) == 1; });
-    Caller d(w.loop, w.gateway->address());
-    d.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] { return d.finals(1) == 1; });
-    for (const auto& m : c.heard) {
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, web));
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{2}}, web));
+    fleet.run([&] { return c.final_answers(1) == 1 && c.final_answers(2) == 1; });
+    Client d(fleet.loop, fleet.gateway->address());
+    d.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] { return d.final_answers(1) == 1; });
+    for (const auto& m : c.received) {
         if (m.id == rpc::Id{std::int64_t{1}}) assert(m.sort == rpc::Sort::result);
         if (m.id != rpc::Id{std::int64_t{2}}) continue;
         assert(m.code == rpc::kDeclined && m.body["stayAwayMs"].get<double>() > 0);
         assert(m.body["reason"] == "too many queries in hand on this route");
     }
-    assert(d.heard.back().sort == rpc::Sort::result);
-    d.link->send(rpc::call(rpc::Id{std::int64_t{9}}, rpc::kStatus, rpc::Json::object()));
-    w.run([&] { return d.finals(9) == 1; });
-    assert(d.heard.back().body["overLimit"] == 1 && d.heard.back().body["generation"] == 2);
+    assert(d.received.back().sort == rpc::Sort::result);
+    d.connection->send(rpc::call(rpc::Id{std::int64_t{9}}, rpc::kStatus, rpc::Json::object()));
+    fleet.run([&] { return d.final_answers(9) == 1; });
+    assert(d.received.back().body["overLimit"] == 1 && d.received.back().body["generation"] == 2);
     std::filesystem::remove_all(folder);
 }
 
-// Against a reload that half takes: one bad entry, a file that is half written, a change that needs a
-// restart.
+// Guards against a reload that is applied in part: one invalid entry, a half-written file, a change that
+// needs a restart.
 void a_bad_reload_changes_nothing() {
-    World w;
+    TestFleet fleet;
     const std::string folder = temporary_folder(), file = folder + "/x.terms";
-    Overrides o;
-    o.roster = w.roster.address().text();
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
     std::string many;
     for (int n = 0; n < 2000; ++n)
         many += "(route \"r" + std::to_string(n) + "\" (attributes \"shop=" + std::to_string(n) +
                 "\") (in-hand 5))\n";
-    const std::string good = terms_with(many);
+    const std::string good = terms_with_forms(many);
     std::string one_bad = good, half = good.substr(0, good.size() / 2), other_zone = good;
     one_bad.replace(one_bad.find("(in-hand 5))\n(route \"r1500"), 11, "(in-hand 0)");
     other_zone.replace(other_zone.find("(zone \"z\")) (zone \"z\")"), 23, "(zone \"y\")) (zone \"y\")");
     for (const std::string& bad : {one_bad, half, other_zone, std::string()}) {
         write(file, bad);
-        assert(!w.gateway->reload(file, o) && w.gateway->generation() == 1);
+        assert(!fleet.gateway->reload(file, overrides) && fleet.gateway->generation() == 1);
     }
-    assert(!w.gateway->reload(folder + "/none", o));
+    assert(!fleet.gateway->reload(folder + "/none", overrides));
     write(file, good);
-    assert(w.gateway->reload(file, o) && w.gateway->generation() == 2);
+    assert(fleet.gateway->reload(file, overrides) && fleet.gateway->generation() == 2);
     std::filesystem::remove_all(folder);
 }
 
-// A hundred reloads, good and bad in turn, under queries: none is lost, none is answered twice. The category
-// turns effectful and back, and a route comes and goes with its queries in hand.
-void reloads_under_load_lose_nothing() {
-    World w;
+// A hundred reloads, valid and invalid in turn, under load: no request is lost or answered twice. The
+// category turns effectful and back, and a route is added and removed while it has requests in flight.
+void reloads_under_load_lose_no_request() {
+    TestFleet fleet;
     const std::string folder = temporary_folder(), file = folder + "/x.terms";
-    Overrides o;
-    o.roster = w.roster.address().text();
-    Caller c(w.loop, w.gateway->address());
-    std::int64_t asked = 0;
-    int reloads = 0, taken = 0;
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
+    Client c(fleet.loop, fleet.gateway->address());
+    std::int64_t sent = 0;
+    int reloads = 0, applied = 0;
     const std::string route = R"((route "web" (attributes "app=web") (in-hand 100) (retry-share 0.1)))";
-    w.run([&] {
-        // Two queries each turn, as many as this caller may have open.
-        while (asked - static_cast<std::int64_t>(w.gateway->desk().tally().settled) < 2 && reloads < 100) {
-            rpc::Ask a = ask();
-            if (asked % 2) a.attributes = {"app=web"};
-            c.link->send(rpc::ask_line(rpc::Id{++asked}, a));
+    fleet.run([&] {
+        // Two open requests at a time, as many as this client may have.
+        while (sent - static_cast<std::int64_t>(fleet.gateway->desk().tally().settled) < 2 && reloads < 100) {
+            rpc::Ask a = make_request();
+            if (sent % 2) a.attributes = {"app=web"};
+            c.connection->send(rpc::ask_line(rpc::Id{++sent}, a));
         }
-        std::size_t finals = 0;
-        for (const auto& m : c.heard) finals += m.sort != rpc::Sort::notice;
-        // Two for each query that has ended, so that every query meets some.
-        if (reloads < 100 && reloads <= static_cast<int>(2 * finals)) {
-            std::string text = terms_with(reloads % 4 < 2 ? route : "");
+        std::size_t final_answers = 0;
+        for (const auto& m : c.received) final_answers += m.sort != rpc::Sort::notice;
+        // Two reloads for each request that has ended, so that every request overlaps with some.
+        if (reloads < 100 && reloads <= static_cast<int>(2 * final_answers)) {
+            std::string text = terms_with_forms(reloads % 4 < 2 ? route : "");
             if (reloads % 3 == 1)
                 text.replace(text.find("(category \"help\""), 16, "(category \"help\" (effect effectful)");
             if (reloads % 2) text += ")";
             write(file, text);
-            taken += w.gateway->reload(file, o);
+            applied += fleet.gateway->reload(file, overrides);
             ++reloads;
         }
-        return reloads == 100 && finals == static_cast<std::size_t>(asked);
+        return reloads == 100 && final_answers == static_cast<std::size_t>(sent);
     });
-    assert(taken == 50 && w.gateway->generation() == 51);
-    assert(asked > 20);
-    for (std::int64_t id = 1; id <= asked; ++id) {
-        assert(c.finals(id) == 1);
+    assert(applied == 50 && fleet.gateway->generation() == 51);
+    assert(sent > 20);
+    for (std::int64_t id = 1; id <= sent; ++id) {
+        assert(c.final_answers(id) == 1);
         assert(c.count(rpc::Sort::result, rpc::Id{id}) == 1);
     }
     std::filesystem::remove_all(folder);
 }
 
-// Against answers held up by a file of thousands of routes: queries go on while it is read, and two signals
-// in a row end with the newest file.
-void a_large_file_is_read_aside() {
-    World w;
+// Guards against answers delayed by a file of thousands of routes: requests continue while it is read, and
+// two reload signals in a row end with the newest file.
+void a_large_file_is_read_in_the_background() {
+    TestFleet fleet;
     const std::string folder = temporary_folder(), file = folder + "/x.terms";
-    Overrides o;
-    o.roster = w.roster.address().text();
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
     std::string many;
     for (int n = 0; n < 10000; ++n)
         many += "(route \"r" + std::to_string(n) + "\" (attributes \"shop=" + std::to_string(n) +
                 "\") (in-hand 5) (rate 9))\n";
-    write(file, terms_with(many));
+    write(file, terms_with_forms(many));
     std::int64_t last = machine_clock_us(), longest = 0, ticks = 0;
-    Timer beat(w.loop, [&] {
+    Timer heartbeat(fleet.loop, [&] {
         const std::int64_t now = machine_clock_us();
         longest = std::max(longest, now - last);
         last = now;
         ++ticks;
-        beat.set(ms(1));
+        heartbeat.set(ms(1));
     });
-    beat.set(ms(0));
+    heartbeat.set(ms(0));
     const std::int64_t begun = machine_clock_us();
-    w.gateway->reload_aside(file, o);
+    fleet.gateway->reload_aside(file, overrides);
     bool written = false;
-    w.run([&] {
+    fleet.run([&] {
         if (!written && ticks >= 10) {
             written = true;
-            write(file + ".new", terms_with(many + "(route \"last\" (attributes \"shop=last\"))"));
+            write(file + ".new", terms_with_forms(many + "(route \"last\" (attributes \"shop=last\"))"));
             std::filesystem::rename(file + ".new", file);
-            w.gateway->reload_aside(file, o);
+            fleet.gateway->reload_aside(file, overrides);
         }
-        return w.gateway->generation() == 3;
+        return fleet.gateway->generation() == 3;
     });
-    std::fprintf(stderr,
-                 "10,000 routes read aside twice in %.0f ms; the loop was held up for %.1f ms at most\n",
-                 static_cast<double>(machine_clock_us() - begun) / 1e3, static_cast<double>(longest) / 1e3);
-    assert(ticks > 20);  // it never stood still for a whole reading
-    Caller c(w.loop, w.gateway->address());
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] { return c.finals(1) == 1; });
+    std::fprintf(
+        stderr,
+        "10,000 routes read in the background twice in %.0f ms; the loop was blocked for %.1f ms at most\n",
+        static_cast<double>(machine_clock_us() - begun) / 1e3, static_cast<double>(longest) / 1e3);
+    assert(ticks > 20);  // the loop was never blocked for a whole read
+    Client c(fleet.loop, fleet.gateway->address());
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] { return c.final_answers(1) == 1; });
     std::filesystem::remove_all(folder);
 }
 
-// A restart begins with the last list; a damaged one is set aside and told.
-void the_last_list_is_kept() {
+// A restart uses the stored list; a damaged file is renamed and reported.
+void the_last_server_list_is_stored() {
     std::string folder = (std::filesystem::temp_directory_path() / "copperfront-state-XXXXXX").string();
     assert(mkdtemp(folder.data()) != nullptr);
-    World w(folder);
-    w.run([&] { return std::filesystem::exists(folder + "/servers.json"); });
-    ListStore store(folder);
-    std::string trouble;
-    auto list = store.read(trouble);
-    assert(list && list->entries.size() == 2 && trouble.empty());
+    TestFleet fleet(folder);
+    fleet.run([&] { return std::filesystem::exists(folder + "/servers.json"); });
+    ServerListStore store(folder);
+    std::string problem;
+    auto list = store.read(problem);
+    assert(list && list->entries.size() == 2 && problem.empty());
     std::string text;
-    std::vector<Fault> faults;
-    assert(read_file(folder + "/servers.json", 1 << 20, text, faults));
+    std::vector<Fault> diagnostics;
+    assert(read_file(folder + "/servers.json", 1 << 20, text, diagnostics));
     for (const std::size_t cut : {std::size_t{0}, std::size_t{1}, text.size() / 2, text.size() - 4}) {
         std::ofstream(folder + "/servers.json") << text.substr(0, cut);
-        trouble.clear();
-        assert(!store.read(trouble) && trouble.find("set aside") != std::string::npos);
+        problem.clear();
+        assert(!store.read(problem) && problem.find("set aside") != std::string::npos);
         assert(!std::filesystem::exists(folder + "/servers.json"));
     }
-    // One figure changed by a failing disk: the sum tells.
+    // One character changed, as by a failing disk: the checksum detects it.
     std::string other = text;
     other[other.find("reader")] = 'R';
     std::ofstream(folder + "/servers.json") << other;
-    trouble.clear();
-    assert(!store.read(trouble) && trouble.find("sum") != std::string::npos);
+    problem.clear();
+    assert(!store.read(problem) && problem.find("sum") != std::string::npos);
     std::filesystem::remove_all(folder);
 }
 
-// What the status call tells, to a caller that asks for it.
-rpc::Json status_of(World& w, Caller& c, std::int64_t id) {
-    c.link->send(rpc::call(rpc::Id{id}, "gateway/status", rpc::Json::object()));
-    w.run([&] { return c.finals(id) == 1; });
-    for (const auto& m : c.heard)
+// Returns the answer of the status call to this client.
+rpc::Json get_status(TestFleet& fleet, Client& c, std::int64_t id) {
+    c.connection->send(rpc::call(rpc::Id{id}, "gateway/status", rpc::Json::object()));
+    fleet.run([&] { return c.final_answers(id) == 1; });
+    for (const auto& m : c.received)
         if (m.id == rpc::Id{id}) return m.body;
     return {};
 }
 
-GatewayTerms read_well(std::string text, const Overrides& o) {
+GatewayTerms read_valid(std::string text, const Overrides& overrides) {
     GatewayTerms terms;
-    std::vector<Fault> faults;
-    const bool well = read_terms(text, o, terms, faults);
-    if (!well) std::fprintf(stderr, "%s\n", text_of("terms", faults).c_str());
+    std::vector<Fault> diagnostics;
+    const bool well = read_terms(text, overrides, terms, diagnostics);
+    if (!well) std::fprintf(stderr, "%s\n", text_of("terms", diagnostics).c_str());
     assert(well);
     return terms;
 }
 
-// Before operators move, they watch: the gateway decides by its own terms and counts where others would not.
-// A second reading engine is of a kind that the other terms have as mixed: they would read at the first
-// alone.
-void other_terms_are_watched_and_change_nothing() {
-    World w;
-    standin::EngineServer second(w.loop, World::shape(Role::reader, 2), World::identity("r2"));
-    standin::RosterServer roster(w.loop, {});
-    roster.change({{w.reader.address().text(), "r", "reader", "z", "a", 0, Standing::ready},
+// Shadow evaluation: the gateway decides by its own terms and counts where other terms would decide
+// differently. A second prefill server is of a kind that is mixed in the other terms: they would prefill only
+// on the first server.
+void shadow_evaluation_changes_no_decision() {
+    TestFleet fleet;
+    standin::EngineServer second(fleet.loop, TestFleet::shape(Role::reader, 2), TestFleet::identity("r2"));
+    standin::RosterServer roster(fleet.loop, {});
+    roster.change({{fleet.reader.address().text(), "r", "reader", "z", "a", 0, Standing::ready},
                    {second.address().text(), "r2", "extra", "z", "a", 0, Standing::ready},
-                   {w.writer.address().text(), "w", "writer", "z", "a", 0, Standing::ready}});
-    Overrides o;
-    o.roster = roster.address().text();
+                   {fleet.writer.address().text(), "w", "writer", "z", "a", 0, Standing::ready}});
+    Overrides overrides;
+    overrides.roster = roster.address().text();
     const std::string more = R"((kind "extra" (role )";
-    const GatewayTerms now = read_well(terms_with(more + "reader))"), o);
-    const GatewayTerms other =
-        read_well(terms_with(more + "mixed)) (allow (probes yes)) (reports (how inline) (memory yes))"), o);
-    Gateway gateway(w.loop, now, 5, w.log);
-    std::vector<Fault> faults;
-    assert(gateway.watch(other, faults, 5) && faults.empty());
-    Caller c(w.loop, gateway.address());
+    const GatewayTerms now = read_valid(terms_with_forms(more + "reader))"), overrides);
+    const GatewayTerms other = read_valid(
+        terms_with_forms(more + "mixed)) (allow (probes yes)) (reports (how inline) (memory yes))"),
+        overrides);
+    Gateway gateway(fleet.loop, now, 5, fleet.log);
+    std::vector<Fault> diagnostics;
+    assert(gateway.watch(other, diagnostics, 5) && diagnostics.empty());
+    Client c(fleet.loop, gateway.address());
     for (std::int64_t id = 1; id <= 20; ++id) {
-        c.link->send(rpc::ask_line(rpc::Id{id}, ask()));
-        w.run([&] { return c.finals(id) == 1; });
+        c.connection->send(rpc::ask_line(rpc::Id{id}, make_request()));
+        fleet.run([&] { return c.final_answers(id) == 1; });
         assert(c.count(rpc::Sort::result, rpc::Id{id}) == 1);
     }
-    const rpc::Json told = status_of(w, c, 99)["watching"];
+    const rpc::Json shadow = get_status(fleet, c, 99)["watching"];
     std::uint64_t attempts = 0;
-    for (const char* key : {"alike", "reader", "writer", "held"}) attempts += told[key].get<std::uint64_t>();
-    assert(attempts == 40);  // each query was read and handed over once, and each of these was compared
-    assert(told["reader"].get<std::uint64_t>() >= 4 && told["alike"].get<std::uint64_t>() >= 10);
-    assert(told["ended"] == 0 && told["wentOn"] == 0);
+    for (const char* key : {"alike", "reader", "writer", "held"})
+        attempts += shadow[key].get<std::uint64_t>();
+    assert(attempts == 40);  // each request had one prefill and one decode, and each of these was compared
+    assert(shadow["reader"].get<std::uint64_t>() >= 4 && shadow["alike"].get<std::uint64_t>() >= 10);
+    assert(shadow["ended"] == 0 && shadow["wentOn"] == 0);
     assert(gateway.desk().tally().probes == 0 && gateway.desk().tally().reads == 20);
 
-    // What can't be compared is refused, and so is a start in the middle.
+    // Terms that cannot be compared are refused, and so is a start after the terms have changed.
     std::string strange = kTerms;
     strange.replace(strange.find("\"whole\""), 7, "\"other\"");
-    assert(!w.gateway->watch(read_well(strange, o), faults, 5) && faults.size() == 1);
-    faults.clear();
-    o.roster = w.roster.address().text();
-    assert(
-        w.gateway->change(read_well(terms_with(R"((route "x" (attributes "app=x") (rate 9)))"), o), faults));
-    assert(!w.gateway->watch(read_well(kTerms, o), faults, 5) && faults.size() == 1);
+    assert(!fleet.gateway->watch(read_valid(strange, overrides), diagnostics, 5) && diagnostics.size() == 1);
+    diagnostics.clear();
+    overrides.roster = fleet.roster.address().text();
+    assert(fleet.gateway->change_terms(
+        read_valid(terms_with_forms(R"((route "x" (attributes "app=x") (rate 9)))"), overrides),
+        diagnostics));
+    assert(!fleet.gateway->watch(read_valid(kTerms, overrides), diagnostics, 5) && diagnostics.size() == 1);
 }
 
 const char* const kPeers =
     R"((allow (peers yes)) (peer "b" (at "127.0.0.1:1")) (reports (how inline) (memory yes)))";
 
-// Gateways that may tell each other do so on loopback; what comes from elsewhere is dropped.
-void peers_hear_what_is_handed_over_and_nobody_else_is_listened_to() {
-    World w;
-    Overrides o;
-    o.roster = w.roster.address().text();
-    o.peer_listen = "127.0.0.1:0";
-    const GatewayTerms terms = read_well(terms_with(kPeers), o);
-    Gateway a(w.loop, terms, 5, w.log), b(w.loop, terms, 6, w.log);
+// Gateways that may exchange notes do so on loopback; datagrams from other senders are dropped.
+void peers_receive_hand_over_notes_and_other_senders_are_ignored() {
+    TestFleet fleet;
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
+    overrides.peer_listen = "127.0.0.1:0";
+    const GatewayTerms terms = read_valid(terms_with_forms(kPeers), overrides);
+    Gateway a(fleet.loop, terms, 5, fleet.log), b(fleet.loop, terms, 6, fleet.log);
     a.peers()->add(b.peers()->address());
     b.peers()->add(a.peers()->address());
-    std::size_t foreign = 0;
-    Peers stranger(w.loop, Address::parse("127.0.0.1:0"), {b.peers()->address().text()},
-                   [&](std::string_view) { ++foreign; });
-    stranger.tell("w003ea99");
-    stranger.tell(std::string(300, 'x'));  // longer than a note may be: never sent
-    assert(stranger.counts().told == 1);
-    Caller c(w.loop, a.address());
-    c.link->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask()));
-    w.run([&] {
-        return c.finals(1) == 1 && b.peers()->counts().heard == 1 && b.peers()->counts().dropped == 1;
+    std::size_t stranger_received = 0;
+    PeerNotes stranger(fleet.loop, Address::parse("127.0.0.1:0"), {b.peers()->address().text()},
+                       [&](std::string_view) { ++stranger_received; });
+    stranger.send("w003ea99");
+    stranger.send(std::string(300, 'x'));  // longer than the limit for notes: never sent
+    assert(stranger.counts().sent == 1);
+    Client c(fleet.loop, a.address());
+    c.connection->send(rpc::ask_line(rpc::Id{std::int64_t{1}}, make_request()));
+    fleet.run([&] {
+        return c.final_answers(1) == 1 && b.peers()->counts().received == 1 &&
+               b.peers()->counts().dropped == 1;
     });
     assert(c.count(rpc::Sort::result, rpc::Id{std::int64_t{1}}) == 1);
-    assert(a.peers()->counts().told >= 1 && a.peers()->counts().heard == 0 && foreign == 0);
+    assert(a.peers()->counts().sent >= 1 && a.peers()->counts().received == 0 && stranger_received == 0);
 }
 
-// Against a peer gone mad: its notes neither hold up what else there is to do nor stop queries.
-void a_flood_of_notes_from_a_peer_is_survived() {
-    World w;
-    Overrides o;
-    o.roster = w.roster.address().text();
-    o.peer_listen = "127.0.0.1:0";
-    Gateway a(w.loop, read_well(terms_with(kPeers), o), 5, w.log);
-    Peers mad(w.loop, Address::parse("127.0.0.1:0"), {a.peers()->address().text()}, [](std::string_view) {});
-    a.peers()->add(mad.address());
-    Caller c(w.loop, a.address());
-    Timer flood(w.loop, [&] {
+// Guards against a faulty peer that floods the gateway: its notes delay neither other work nor requests.
+void a_flood_of_peer_notes_does_not_block_requests() {
+    TestFleet fleet;
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
+    overrides.peer_listen = "127.0.0.1:0";
+    Gateway a(fleet.loop, read_valid(terms_with_forms(kPeers), overrides), 5, fleet.log);
+    PeerNotes flooding_peer(fleet.loop, Address::parse("127.0.0.1:0"), {a.peers()->address().text()},
+                            [](std::string_view) {});
+    a.peers()->add(flooding_peer.address());
+    Client c(fleet.loop, a.address());
+    Timer flood(fleet.loop, [&] {
         for (int n = 0; n < 100; ++n) {
-            mad.tell("u" + std::string(1, static_cast<char>('0' + n % 10)) + "00000");
-            mad.tell(std::string(256, static_cast<char>(n)));
+            flooding_peer.send("u" + std::string(1, static_cast<char>('0' + n % 10)) + "00000");
+            flooding_peer.send(std::string(256, static_cast<char>(n)));
         }
         flood.set(ms(1));
     });
     flood.set(ms(0));
     for (std::int64_t id = 1; id <= 10; ++id) {
-        c.link->send(rpc::ask_line(rpc::Id{id}, ask()));
-        w.run([&] { return c.finals(id) == 1; });
+        c.connection->send(rpc::ask_line(rpc::Id{id}, make_request()));
+        fleet.run([&] { return c.final_answers(id) == 1; });
         assert(c.count(rpc::Sort::result, rpc::Id{id}) == 1);
     }
-    assert(a.peers()->counts().heard > 100);
+    assert(a.peers()->counts().received > 100);
 }
 
-// Against notes that mean another category elsewhere, and against a port that is taken.
-void what_peers_rest_on_does_not_change_under_them() {
-    World w;
-    Overrides o;
-    o.roster = w.roster.address().text();
-    o.peer_listen = "127.0.0.1:0";
-    const std::string text = terms_with(kPeers);
-    Gateway a(w.loop, read_well(text, o), 5, w.log);
+// Guards against notes whose category index means another category elsewhere, and against a port already in
+// use.
+void a_reload_cannot_change_what_peers_rely_on() {
+    TestFleet fleet;
+    Overrides overrides;
+    overrides.roster = fleet.roster.address().text();
+    overrides.peer_listen = "127.0.0.1:0";
+    const std::string text = terms_with_forms(kPeers);
+    Gateway a(fleet.loop, read_valid(text, overrides), 5, fleet.log);
     std::string slower = text;
     slower.replace(slower.find("(latency-goal 1s)"), 17, "(latency-goal 1100ms)");
-    std::vector<Fault> faults;
-    assert(!a.change(read_well(slower, o), faults) && faults.size() == 1 && faults[0].path == "category");
-    faults.clear();
-    assert(!a.change(read_well(terms_with(""), o), faults) && faults[0].path == "allow / peers");
-    o.peer_listen = a.peers()->address().text();
-    bool told = false;
+    std::vector<Fault> diagnostics;
+    assert(!a.change_terms(read_valid(slower, overrides), diagnostics) && diagnostics.size() == 1 &&
+           diagnostics[0].path == "category");
+    diagnostics.clear();
+    assert(!a.change_terms(read_valid(terms_with_forms(""), overrides), diagnostics) &&
+           diagnostics[0].path == "allow / peers");
+    overrides.peer_listen = a.peers()->address().text();
+    bool reported = false;
     try {
-        Gateway b(w.loop, read_well(text, o), 6, w.log);
-    } catch (const NetTrouble& trouble) {
-        told = std::string(trouble.what()).find(o.peer_listen) != std::string::npos;
+        Gateway b(fleet.loop, read_valid(text, overrides), 6, fleet.log);
+    } catch (const NetTrouble& error) {
+        reported = std::string(error.what()).find(overrides.peer_listen) != std::string::npos;
     }
-    assert(told);
+    assert(reported);
 }
 
 }  // namespace
 
 int main() {
-    a_query_is_settled_and_a_whole_answer_comes_in_one_piece();
-    an_id_in_use_is_refused_without_naming_it();
-    bounds_on_a_caller_are_kept();
-    too_many_callers_are_turned_away();
-    a_caller_that_never_reads_is_cut_off();
-    a_cancelled_query_gets_no_answer();
-    a_stop_lets_open_queries_end();
-    a_route_over_its_limit_declines_at_once_and_others_go_on();
+    a_request_completes_and_an_unstreamed_answer_comes_in_one_piece();
+    an_id_in_use_is_rejected_without_naming_it();
+    bounds_on_a_client_are_enforced();
+    clients_beyond_the_limit_are_refused();
+    a_client_that_never_reads_is_disconnected();
+    a_cancelled_request_gets_no_answer();
+    shutdown_lets_open_requests_end();
+    a_route_over_its_limit_rejects_at_once_and_others_continue();
     a_bad_reload_changes_nothing();
-    reloads_under_load_lose_nothing();
-    a_large_file_is_read_aside();
-    the_last_list_is_kept();
-    other_terms_are_watched_and_change_nothing();
-    peers_hear_what_is_handed_over_and_nobody_else_is_listened_to();
-    a_flood_of_notes_from_a_peer_is_survived();
-    what_peers_rest_on_does_not_change_under_them();
+    reloads_under_load_lose_no_request();
+    a_large_file_is_read_in_the_background();
+    the_last_server_list_is_stored();
+    shadow_evaluation_changes_no_decision();
+    peers_receive_hand_over_notes_and_other_senders_are_ignored();
+    a_flood_of_peer_notes_does_not_block_requests();
+    a_reload_cannot_change_what_peers_rely_on();
 }
--- a/tests/rpc/rpc_test.cpp
+++ b/tests/rpc/rpc_test.cpp
@@ -1,4 +1,4 @@
-// The codec: whatever a peer sends is a message or a clear error, and what we write we can read.
+// The codec: any bytes parse to a message or an error, and every message that is written can be read back.
 #include <rapidcheck.h>
 
 #include <cassert>
@@ -22,7 +22,7 @@
     return std::holds_alternative<BadMessage>(v) ? std::get<BadMessage>(v).code : 0;
 }
 
-void bad_lines_get_published_codes() {
+void invalid_lines_get_specified_error_codes() {
     assert(code("{") == kParseError);
     assert(code("\xff\xfe") == kParseError);
     assert(code(std::string(100000, '[')) == kParseError);
@@ -40,29 +40,31 @@
     assert(code(R"({"jsonrpc":"2.0","id":1,"method":"x"})") == 0);
 }
 
-std::string trouble(const std::string& params) {
+std::string error_of(const std::string& params) {
     const auto v = read_ask(Json::parse(params));
     return std::holds_alternative<std::string>(v) ? std::get<std::string>(v) : "";
 }
 
-void a_bad_ask_names_its_field() {
-    const std::string well =
+void an_invalid_request_names_its_field() {
+    const std::string valid_fields =
         R"("category":"c","budgetMs":10,"maxTokens":5,"prompt":[{"type":"text","text":"x","tokens":3}])";
-    assert(trouble("{" + well + "}").empty());
-    assert(trouble(R"({"category":"c","budgetMs":1,"maxTokens":5,"prompt":[{"tokens":0}]})") ==
+    assert(error_of("{" + valid_fields + "}").empty());
+    assert(error_of(R"({"category":"c","budgetMs":1,"maxTokens":5,"prompt":[{"tokens":0}]})") ==
            "prompt: its parts hold no tokens");
-    assert(trouble(R"({"category":"c"})").rfind("budgetMs: is missing", 0) == 0);
-    assert(trouble("{" + well + R"(,"session":5})") == "session: expected text");
-    assert(trouble("{" + well + R"(,"beginningTokens":9,"beginning":"b"})").find("beginningTokens") == 0);
-    assert(trouble(R"({"category":"c","budgetMs":-1,"maxTokens":5,"prompt":[{"tokens":3}]})") ==
+    assert(error_of(R"({"category":"c"})").rfind("budgetMs: is missing", 0) == 0);
+    assert(error_of("{" + valid_fields + R"(,"session":5})") == "session: expected text");
+    assert(
+        error_of("{" + valid_fields + R"(,"beginningTokens":9,"beginning":"b"})").find("beginningTokens") ==
+        0);
+    assert(error_of(R"({"category":"c","budgetMs":-1,"maxTokens":5,"prompt":[{"tokens":3}]})") ==
            "budgetMs: out of range");
-    assert(trouble(R"({"category":"c","budgetMs":1,"maxTokens":5,"prompt":[{"tokens":3},{}]})") ==
+    assert(error_of(R"({"category":"c","budgetMs":1,"maxTokens":5,"prompt":[{"tokens":3},{}]})") ==
            "prompt[1].tokens: is missing");
-    assert(trouble(R"({"category":"c","budgetMs":1,"maxTokens":1e300,"prompt":[{"tokens":3}]})") ==
+    assert(error_of(R"({"category":"c","budgetMs":1,"maxTokens":1e300,"prompt":[{"tokens":3}]})") ==
            "maxTokens: out of range");
 }
 
-void any_bytes_are_a_message_or_an_error() {
+void any_bytes_parse_to_a_message_or_an_error() {
     assert(rc::check("bytes", [](const std::string& bytes) { parse(bytes); }));
     assert(rc::check("broken messages", [] {
         std::string line = order_line(Id{std::int64_t{5}}, kRead,
@@ -80,25 +82,26 @@
     }));
 }
 
-void what_is_written_is_read_back() {
-    assert(rc::check("asks", [] {
-        Ask a;
+void written_messages_are_read_back() {
+    assert(rc::check("requests", [] {
+        Ask request;
         const auto name = rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127));
-        a.category = "c" + (*name).substr(0, 100);
-        a.session = (*name).substr(0, 100);
-        a.mark = (*name).substr(0, 100);
-        a.prompt = R"([{"tokens":70}])";
-        a.prompt_tokens = 70;
-        a.most_tokens = *rc::gen::inRange(1, 100000);
-        a.budget = Span{*rc::gen::inRange(1, 1000000) * std::int64_t{1000}};
-        const Message m = message(parse(ask_line(Id{std::string("i\"d")}, a)));
+        request.category = "c" + (*name).substr(0, 100);
+        request.session = (*name).substr(0, 100);
+        request.mark = (*name).substr(0, 100);
+        request.prompt = R"([{"tokens":70}])";
+        request.prompt_tokens = 70;
+        request.most_tokens = *rc::gen::inRange(1, 100000);
+        request.budget = Span{*rc::gen::inRange(1, 1000000) * std::int64_t{1000}};
+        const Message m = message(parse(ask_line(Id{std::string("i\"d")}, request)));
         assert(m.sort == Sort::call && m.id == Id{std::string("i\"d")});
         const auto back = read_ask(m.body);
         RC_ASSERT(std::holds_alternative<Ask>(back));
-        const Ask& b = std::get<Ask>(back);
-        RC_ASSERT(b.category == a.category && b.session == a.session && b.mark == a.mark &&
-                  b.budget == a.budget);
-        RC_ASSERT(b.prompt_tokens == a.prompt_tokens && b.most_tokens == a.most_tokens);
+        const Ask& read_back = std::get<Ask>(back);
+        RC_ASSERT(read_back.category == request.category && read_back.session == request.session &&
+                  read_back.mark == request.mark && read_back.budget == request.budget);
+        RC_ASSERT(read_back.prompt_tokens == request.prompt_tokens &&
+                  read_back.most_tokens == request.most_tokens);
     }));
     assert(rc::check("tokens", [](const std::string& text) {
         const Message m = message(parse(tokens_line(Id{std::int64_t{3}}, text)));
@@ -106,8 +109,8 @@
     }));
 }
 
-// The short way and the general one must never disagree.
-void plain_tokens_are_what_the_general_way_reads() {
+// plain_tokens and parse must never disagree.
+void plain_tokens_agrees_with_parse() {
     assert(plain_tokens(tokens_line(Id{std::int64_t{12}}, "t5 "))->id == 12);
     assert(plain_tokens(tokens_line(Id{std::int64_t{12}}, "t5 "))->text == "t5 ");
     for (const char* odd : {"01", "-1", "1.5", "\"x\"", "", "99999999999999999999"})
@@ -117,17 +120,18 @@
     assert(rc::check("tokens", [](const std::string& text, std::uint8_t at, char byte) {
         std::string line = tokens_line(Id{std::int64_t{7}}, text);
         if (byte != 0) line[at % line.size()] = byte;
-        const auto quick = plain_tokens(line);
-        if (!quick) return;
+        const auto plain = plain_tokens(line);
+        if (!plain) return;
         const auto v = parse(line);
         RC_ASSERT(std::holds_alternative<Message>(v));
-        RC_ASSERT(std::get<Message>(v).body["requestId"] == quick->id);
-        RC_ASSERT(std::get<Message>(v).body["text"] == std::string(quick->text));
+        RC_ASSERT(std::get<Message>(v).body["requestId"] == plain->id);
+        RC_ASSERT(std::get<Message>(v).body["text"] == std::string(plain->text));
     }));
 }
 
-// Against an engine that answers a write with something else: it may have run, and is not settled.
-void an_answer_without_its_figures_is_none() {
+// Guards against a server that answers a decode with something else: the attempt may have run, and is not
+// counted as completed.
+void a_result_without_its_fields_is_an_error() {
     assert(read_outcome(message(parse(R"({"jsonrpc":"2.0","id":1,"result":{"kept":5}})")), true).ending ==
            Ending::read);
     assert(read_outcome(message(parse(R"({"jsonrpc":"2.0","id":1,"result":{"kept":5}})")), false).ending ==
@@ -142,10 +146,10 @@
 }  // namespace
 
 int main() {
-    bad_lines_get_published_codes();
-    a_bad_ask_names_its_field();
-    any_bytes_are_a_message_or_an_error();
-    what_is_written_is_read_back();
-    plain_tokens_are_what_the_general_way_reads();
-    an_answer_without_its_figures_is_none();
+    invalid_lines_get_specified_error_codes();
+    an_invalid_request_names_its_field();
+    any_bytes_parse_to_a_message_or_an_error();
+    written_messages_are_read_back();
+    plain_tokens_agrees_with_parse();
+    a_result_without_its_fields_is_an_error();
 }
--- a/tests/terms/terms_test.cpp
+++ b/tests/terms/terms_test.cpp
@@ -1,4 +1,4 @@
-// What is wrong with a terms file is told by line, path and what was expected, all of it at once.
+// Errors in a terms file are reported with line, path and what was expected, all at once.
 #include <rapidcheck.h>
 
 #include <cassert>
@@ -11,7 +11,7 @@
 
 namespace {
 
-const std::string kWell = R"((copperfront
+const std::string kValidTerms = R"((copperfront
   (gateway (name "g") (zone "north"))
   (zone "north")
   (kind "reader" (role reader))
@@ -20,118 +20,129 @@
   (rules (drain-grace 250ms) (start-capacity 0.3) (tip-multiple 2.5) (fall 3s)
     (warm-within 14s) (release-within 1s))))";
 
-std::string with(std::string text, const std::string& from, const std::string& to) {
+std::string replaced(std::string text, const std::string& from, const std::string& to) {
     const std::size_t at = text.find(from);
     assert(at != std::string::npos);
     return text.replace(at, from.size(), to);
 }
 
-std::vector<Fault> faults_of(const std::string& text, const Overrides& o = {}) {
+std::vector<Fault> diagnostics_of(const std::string& text, const Overrides& o = {}) {
     GatewayTerms terms;
-    std::vector<Fault> faults;
-    const bool well = read_terms(text, o, terms, faults);
-    assert(well == faults.empty());
-    return faults;
+    std::vector<Fault> diagnostics;
+    const bool ok = read_terms(text, o, terms, diagnostics);
+    assert(ok == diagnostics.empty());
+    return diagnostics;
 }
 
-// One fault, on that line, whose path and text hold these.
-void refused(const std::string& text, int line, const std::string& path, const std::string& what) {
-    const std::vector<Fault> faults = faults_of(text);
-    for (const Fault& f : faults)
+// Expects an error on that line whose path and text contain these.
+void expect_diagnostic(const std::string& text, int line, const std::string& path, const std::string& what) {
+    const std::vector<Fault> diagnostics = diagnostics_of(text);
+    for (const Fault& f : diagnostics)
         if (f.line == line && f.path.find(path) != std::string::npos &&
             f.what.find(what) != std::string::npos)
             return;
     std::fprintf(stderr, "expected line %d, %s: %s; found\n%s\n", line, path.c_str(), what.c_str(),
-                 text_of("file", faults).c_str());
+                 text_of("file", diagnostics).c_str());
     assert(false);
 }
 
-void a_good_file_is_read() {
+void a_valid_file_is_read() {
     GatewayTerms t;
-    std::vector<Fault> faults;
-    assert(read_terms(kWell, {}, t, faults));
+    std::vector<Fault> diagnostics;
+    assert(read_terms(kValidTerms, {}, t, diagnostics));
     assert(t.core.categories.size() == 1 && t.core.categories[0].latency_goal == Span{1500000});
-    assert(t.hard_stops[0] == Span{6000000} && t.bounds.connect_timeout == Span{250000});
+    assert(t.deadlines[0] == Span{6000000} && t.bounds.connect_timeout == Span{250000});
     Overrides o;
     o.name = "other";
-    assert(read_terms(kWell, o, t, faults) && t.name == "other");
-    // Nothing of another shape holds unless it is stated.
+    assert(read_terms(kValidTerms, o, t, diagnostics) && t.name == "other");
+    // Optional features are off unless they are stated.
     assert(!t.core.peers && t.peers.empty() && !t.core.probes && !t.core.reports_memory &&
            !t.core.reports_unread);
     // One file serves all gateways: a gateway is not its own peer.
     const std::string peers =
-        with(kWell, "(zone \"north\")\n",
-             "(zone \"north\")\n (allow (peers yes))\n"
-             "(peer \"g\" (at \"127.0.0.1:7501\")) (peer \"h\" (at \"127.0.0.1:7502\"))\n");
-    Overrides mine;
-    mine.peer_listen = "127.0.0.1:7501";
-    GatewayTerms told;
-    assert(read_terms(peers, mine, told, faults) && told.core.peers);
-    assert(told.peers == std::vector<std::string>{"127.0.0.1:7502"});
+        replaced(kValidTerms, "(zone \"north\")\n",
+                 "(zone \"north\")\n (allow (peers yes))\n"
+                 "(peer \"g\" (at \"127.0.0.1:7501\")) (peer \"h\" (at \"127.0.0.1:7502\"))\n");
+    Overrides own;
+    own.peer_listen = "127.0.0.1:7501";
+    GatewayTerms with_peers;
+    assert(read_terms(peers, own, with_peers, diagnostics) && with_peers.core.peers);
+    assert(with_peers.peers == std::vector<std::string>{"127.0.0.1:7502"});
 }
 
-void each_kind_of_fault_is_named() {
-    refused(with(kWell, "(hard-stop 6s)", "(hard-stop 6)"), 6, "category help / hard-stop",
-            "a time with its unit");
-    refused(with(kWell, "(hard-stop 6s)", "(hardstop 6s)"), 6, "category help / hardstop",
-            "did you mean hard-stop?");
-    refused(with(kWell, "(hard-stop 6s)", ""), 6, "category help / hard-stop", "is missing");
-    refused(with(kWell, "(role writer)", "(role scribe)"), 5, "kind writer / role",
-            "reader, writer or mixed, found scribe");
-    refused(with(kWell, "(role writer)", "(role reader)"), 0, "kind", "no kind writes");
-    refused(with(kWell, "(zone \"north\")\n  (kind", "(zone \"north\") (zone \"north\")\n  (kind"), 3,
-            "zone north", "stands twice");
-    refused(with(kWell, "(fall 3s)", "(fall 3s) (fall 4s)"), 7, "rules / fall",
-            "stands twice, first on line 7");
-    refused(with(kWell, "(start-capacity 0.3)", "(start-capacity 1.3)"), 7, "rules / start-capacity",
-            "0.001 to 1");
-    refused(with(kWell, "(zone \"north\"))\n", "(zone \"south\"))\n"), 2, "gateway / zone", "no such zone");
+void each_kind_of_error_is_reported() {
+    expect_diagnostic(replaced(kValidTerms, "(hard-stop 6s)", "(hard-stop 6)"), 6,
+                      "category help / hard-stop", "a time with its unit");
+    expect_diagnostic(replaced(kValidTerms, "(hard-stop 6s)", "(hardstop 6s)"), 6, "category help / hardstop",
+                      "did you mean hard-stop?");
+    expect_diagnostic(replaced(kValidTerms, "(hard-stop 6s)", ""), 6, "category help / hard-stop",
+                      "is missing");
+    expect_diagnostic(replaced(kValidTerms, "(role writer)", "(role scribe)"), 5, "kind writer / role",
+                      "reader, writer or mixed, found scribe");
+    expect_diagnostic(replaced(kValidTerms, "(role writer)", "(role reader)"), 0, "kind", "no kind writes");
+    expect_diagnostic(
+        replaced(kValidTerms, "(zone \"north\")\n  (kind", "(zone \"north\") (zone \"north\")\n  (kind"), 3,
+        "zone north", "stands twice");
+    expect_diagnostic(replaced(kValidTerms, "(fall 3s)", "(fall 3s) (fall 4s)"), 7, "rules / fall",
+                      "stands twice, first on line 7");
+    expect_diagnostic(replaced(kValidTerms, "(start-capacity 0.3)", "(start-capacity 1.3)"), 7,
+                      "rules / start-capacity", "0.001 to 1");
+    expect_diagnostic(replaced(kValidTerms, "(zone \"north\"))\n", "(zone \"south\"))\n"), 2,
+                      "gateway / zone", "no such zone");
     for (const char* attempts : {"-4", "1e300", "-1e300", "4.5"})
-        refused(
-            with(kWell, "(rules", std::string("(route \"default\" (most-launches ") + attempts + ")) (rules"),
+        expect_diagnostic(
+            replaced(kValidTerms, "(rules",
+                     std::string("(route \"default\" (most-launches ") + attempts + ")) (rules"),
             7, "route default / most-launches", "whole number, 2 to 64");
-    refused(with(kWell, "(rules", "(ruler"), 7, "ruler", "did you mean rules?");
-    refused(with(kWell, "(latency-goal 1500ms)", "(latency-goal 9s)"), 6, "latency-goal",
-            "longer than the hard stop");
-    refused(with(kWell, "(hard-stop 6s)", "(hard-stop 6s) (effect receipted)"), 6, "window", "rule 2");
-    refused(with(kWell, "(hard-stop 6s)", "(hard-stop 6s) (window 5s)"), 6, "window",
-            "receipted categories only");
-    refused(with(kWell, "(zone \"north\")\n  (kind",
-                 "(zone \"north\")\n  (bounds (connect-timeout 7s))\n  (kind"),
-            4, "connect-timeout", "rule 1");
-    refused(with(kWell, "(zone \"north\")\n  (kind", "(zone \"north\")\n  (reports (memory yes))\n  (kind"),
-            4, "reports / how", "never made");
+    expect_diagnostic(replaced(kValidTerms, "(rules", "(ruler"), 7, "ruler", "did you mean rules?");
+    expect_diagnostic(replaced(kValidTerms, "(latency-goal 1500ms)", "(latency-goal 9s)"), 6, "latency-goal",
+                      "longer than the hard stop");
+    expect_diagnostic(replaced(kValidTerms, "(hard-stop 6s)", "(hard-stop 6s) (effect receipted)"), 6,
+                      "window", "rule 2");
+    expect_diagnostic(replaced(kValidTerms, "(hard-stop 6s)", "(hard-stop 6s) (window 5s)"), 6, "window",
+                      "receipted categories only");
+    expect_diagnostic(replaced(kValidTerms, "(zone \"north\")\n  (kind",
+                               "(zone \"north\")\n  (bounds (connect-timeout 7s))\n  (kind"),
+                      4, "connect-timeout", "rule 1");
+    expect_diagnostic(replaced(kValidTerms, "(zone \"north\")\n  (kind",
+                               "(zone \"north\")\n  (reports (memory yes))\n  (kind"),
+                      4, "reports / how", "never made");
     for (const auto& [limits, key, what] :
          {std::tuple{"(connect 250ms)", "connect", "shorter than bounds / connect-timeout, 250ms"},
           {"(connect 100ms) (read 80ms)", "connect", "shorter than read, 80ms"},
           {"(connect 100ms) (first-token 100ms)", "connect", "shorter than first-token, 100ms"}})
-        refused(with(kWell, "(rules", std::string("(route \"default\" ") + limits + ") (rules"), 7, key,
-                what);
-    refused(with(kWell, "(rules", "(fleet (parts learned)) (rules"), 7, "fleet / parts", "expected even");
+        expect_diagnostic(
+            replaced(kValidTerms, "(rules", std::string("(route \"default\" ") + limits + ") (rules"), 7, key,
+            what);
+    expect_diagnostic(replaced(kValidTerms, "(rules", "(fleet (parts learned)) (rules"), 7, "fleet / parts",
+                      "expected even");
     const std::string peers = "(zone \"north\")\n  (allow (peers yes))\n  (kind";
     const std::string named =
         "(zone \"north\")\n  (allow (peers yes)) (peer \"h\" (at \"127.0.0.1:7501\"))\n  (kind";
-    refused(with(kWell, "(zone \"north\")\n  (kind", peers), 4, "allow / peers", "no other gateway is named");
-    refused(with(kWell, "(zone \"north\")\n  (kind", named), 2, "gateway / peer-listen", "to hear them on");
-    refused(with(kWell, "(zone \"north\")\n  (kind", with(named, "peers yes", "peers no")), 4,
-            "allow / peers", "expected yes");
-    refused(kWell.substr(0, kWell.size() - 1), 1, "", "never closed");
-    refused(kWell + ")", 8, "", "closing bracket too many");
-    refused("(terms)", 1, "", "expected (copperfront ...)");
-    refused("", 0, "", "no form");
+    expect_diagnostic(replaced(kValidTerms, "(zone \"north\")\n  (kind", peers), 4, "allow / peers",
+                      "no other gateway is named");
+    expect_diagnostic(replaced(kValidTerms, "(zone \"north\")\n  (kind", named), 2, "gateway / peer-listen",
+                      "to hear them on");
+    expect_diagnostic(
+        replaced(kValidTerms, "(zone \"north\")\n  (kind", replaced(named, "peers yes", "peers no")), 4,
+        "allow / peers", "expected yes");
+    expect_diagnostic(kValidTerms.substr(0, kValidTerms.size() - 1), 1, "", "never closed");
+    expect_diagnostic(kValidTerms + ")", 8, "", "closing bracket too many");
+    expect_diagnostic("(terms)", 1, "", "expected (copperfront ...)");
+    expect_diagnostic("", 0, "", "no form");
 }
 
-void all_faults_are_told_at_once() {
-    const std::string text =
-        with(with(kWell, "(hard-stop 6s)", "(hard-stop soon)"), "(fall 3s)", "(fall never) (wat 1)");
-    assert(faults_of(text).size() == 3);
+void all_errors_are_reported_at_once() {
+    const std::string text = replaced(replaced(kValidTerms, "(hard-stop 6s)", "(hard-stop soon)"),
+                                      "(fall 3s)", "(fall never) (wat 1)");
+    assert(diagnostics_of(text).size() == 3);
 }
 
-void any_bytes_are_refused_or_read_but_never_more() {
-    assert(rc::check("bytes", [](const std::string& bytes) { faults_of(bytes); }));
-    // Files that are nearly right reach further into the checks than noise does.
+void any_bytes_are_rejected_or_read_without_a_crash() {
+    assert(rc::check("bytes", [](const std::string& bytes) { diagnostics_of(bytes); }));
+    // Nearly valid files reach further into the checks than random bytes.
     assert(rc::check("edits", [] {
-        std::string text = kWell;
+        std::string text = kValidTerms;
         const auto edits = *rc::gen::inRange(1, 6);
         for (int n = 0; n < edits; ++n) {
             const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -141,15 +152,15 @@
                 text.insert(
                     at, *rc::gen::element<std::string>("(", ")", "\"", ";", "\\", "'", "#", " 9e99s ", "\n"));
         }
-        faults_of(text);
+        diagnostics_of(text);
     }));
 }
 
 }  // namespace
 
 int main() {
-    a_good_file_is_read();
-    each_kind_of_fault_is_named();
-    all_faults_are_told_at_once();
-    any_bytes_are_refused_or_read_but_never_more();
+    a_valid_file_is_read();
+    each_kind_of_error_is_reported();
+    all_errors_are_reported_at_once();
+    any_bytes_are_rejected_or_read_without_a_crash();
 }
