--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -7,14 +7,16 @@
 namespace copperfront::audit {
 namespace {
 
-// A call that was on its way when a gateway that was told to stop closed the connection was never taken.
-constexpr Stamp kCrossing = 300000;
-// A cold start's budget is a mean over a window; this many mean attempts more are chance, not a push.
+// A request that was in transit when a gateway that was asked to stop closed the connection was never taken.
+constexpr Timestamp kCrossingWindow = 300000;
+// The budget of a cold start is a mean over a window; an excess of up to this many mean attempts counts as
+// chance, not as overload.
 constexpr double kSlackAttempts = 4;
-// A connection that closes without its gateway's end by force: how near the two stamps must lie.
-constexpr Stamp kNear = 2000000;
+// Maximum difference between the time at which a connection closes and the time at which its gateway is
+// killed.
+constexpr Timestamp kMaxTimeDifference = 2000000;
 
-double ms(Stamp s) { return static_cast<double>(s) / 1000; }
+double ms(Timestamp time) { return static_cast<double>(time) / 1000; }
 
 std::string fixed(double x, int digits = 1) {
     char out[48];
@@ -27,63 +29,67 @@
     q.count = samples.size();
     if (samples.empty()) return q;
     std::sort(samples.begin(), samples.end());
-    const auto at = [&](double part) {
+    const auto at = [&](double fraction) {
         return samples[std::min(samples.size() - 1,
-                                static_cast<std::size_t>(part * static_cast<double>(samples.size())))];
+                                static_cast<std::size_t>(fraction * static_cast<double>(samples.size())))];
     };
-    q.half = at(0.5);
-    q.ninety = at(0.9);
-    q.ninety_nine = at(0.99);
+    q.p50 = at(0.5);
+    q.p90 = at(0.9);
+    q.p99 = at(0.99);
     return q;
 }
 
 class Checker {
   public:
-    explicit Checker(const History& h) : h_(h) {
-        for (const StartedAttempt& l : h.started) by_query_[l.query].push_back(&l);
-        for (const Run& r : h.runs) runs_of_[r.server].push_back(&r);
+    explicit Checker(const History& history) : history_(history) {
+        for (const Attempt& attempt : history.attempts)
+            attempts_by_request_[attempt.request_name].push_back(&attempt);
+        for (const ServerRun& r : history.server_runs) runs_by_address_[r.address].push_back(&r);
     }
 
     Report run() {
-        r_.notes = h_.notes;
-        r_.gaps = h_.gaps;
-        answers();
-        effects();
-        drains();
-        cold_starts();
-        pins();
-        waste();
-        std::stable_sort(r_.breaches.begin(), r_.breaches.end(), [](const Breach& a, const Breach& b) {
-            return a.rule != b.rule ? a.rule < b.rule : a.where.at < b.where.at;
-        });
-        return std::move(r_);
+        report_.notes = history_.notes;
+        report_.gaps = history_.gaps;
+        check_answers();
+        check_effects();
+        check_drains();
+        check_cold_starts();
+        check_held_states();
+        sum_waste();
+        std::stable_sort(report_.breaches.begin(), report_.breaches.end(),
+                         [](const Breach& x, const Breach& y) {
+                             return x.rule != y.rule ? x.rule < y.rule : x.position.at < y.position.at;
+                         });
+        return std::move(report_);
     }
 
   private:
-    void breach(int rule, const std::string& query, const std::string& attempt, const Where& at,
-                std::string what) {
-        r_.breaches.push_back({rule, query, attempt, std::move(what), at, query, ""});
+    void add_breach(int rule, const std::string& request_name, const std::string& attempt,
+                    const RecordPosition& at, std::string what) {
+        report_.breaches.push_back({rule, request_name, attempt, std::move(what), at, request_name, ""});
     }
-    // Of a caller's try, which knows nothing of its name at the gateway; its attempts do.
-    void breach_of(const Asked& a, const std::string& name, const Where& at, std::string what) {
-        breach(1, name, "", at, std::move(what));
-        const auto attempts = attempts_of(a);
-        r_.breaches.back().traced = attempts.empty() ? "" : attempts.front()->query;
+    // A breach that concerns a request as its client sent it: the client does not know its name at the
+    // gateway, but its attempts do.
+    void add_answer_breach(const ClientRequest& request, const std::string& name, const RecordPosition& at,
+                           std::string what) {
+        add_breach(1, name, "", at, std::move(what));
+        const auto attempts = attempts_of(request);
+        report_.breaches.back().trace_name = attempts.empty() ? "" : attempts.front()->request_name;
     }
 
-    const Figures::Category& figures(const std::string& category) const {
-        static const Figures::Category none;
-        const auto it = h_.figures.categories.find(category);
-        return it == h_.figures.categories.end() ? none : it->second;
+    const RuleLimits::Category& limits_of(const std::string& category) const {
+        static const RuleLimits::Category none;
+        const auto it = history_.limits.categories.find(category);
+        return it == history_.limits.categories.end() ? none : it->second;
     }
 
-    // Whether a process ended by force (or was told to stop) near a time.
-    bool ended_near(const std::string& name, Stamp at, bool by_force) const {
-        const auto it = h_.ends.find(name);
-        if (it == h_.ends.end()) return false;
-        return std::any_of(it->second.begin(), it->second.end(), [&](const Ended& e) {
+    // Whether a process was killed near a time, or was asked to stop before it.
+    bool ended_near(const std::string& name, Timestamp at, bool by_force) const {
+        const auto it = history_.process_ends.find(name);
+        if (it == history_.process_ends.end()) return false;
+        return std::any_of(it->second.begin(), it->second.end(), [&](const ProcessEnd& e) {
             if (e.by_force != by_force) return false;
-            return by_force ? std::abs(e.at - at) <= kNear : e.at <= at;
+            return by_force ? std::abs(e.at - at) <= kMaxTimeDifference : e.at <= at;
         });
     }
 
@@ -91,341 +97,382 @@
         return with_life.substr(0, with_life.rfind('.'));
     }
 
-    // The attempts of one try: those with its mark, by its gateway, while it was open.
-    std::vector<const StartedAttempt*> attempts_of(const Asked& a) const {
-        std::vector<const StartedAttempt*> out;
-        if (a.mark.empty()) return out;
-        // Against taking a caller's repeat for the try before it, which was declined a moment ago: whatever
-        // the gateway began after the repeat was asked is the repeat's.
-        Stamp repeated = kNever;
-        const auto [same, others] = asked_by_mark_.equal_range(a.mark);
+    // Returns the attempts of one client request: those with its idempotency key, made by its gateway while
+    // it was open.
+    std::vector<const Attempt*> attempts_of(const ClientRequest& request) const {
+        std::vector<const Attempt*> out;
+        if (request.idempotency_key.empty()) return out;
+        // A client's repeat must not be attributed to the request before it, which was rejected a moment
+        // earlier: whatever the gateway began after the repeat was sent belongs to the repeat.
+        Timestamp repeated_at = kNever;
+        const auto [same, others] = requests_by_key_.equal_range(request.idempotency_key);
         for (auto it = same; it != others; ++it)
-            if (it->second->gateway == a.gateway && it->second->where.at > a.where.at &&
-                (repeated == kNever || it->second->where.at < repeated))
-                repeated = it->second->where.at;
-        const auto [from, to] = by_mark_.equal_range(a.mark);
+            if (it->second->gateway == request.gateway && it->second->position.at > request.position.at &&
+                (repeated_at == kNever || it->second->position.at < repeated_at))
+                repeated_at = it->second->position.at;
+        const auto [from, to] = attempts_by_key_.equal_range(request.idempotency_key);
         for (auto it = from; it != to; ++it) {
-            const StartedAttempt& l = *it->second;
-            if (gateway_name(l.gateway) == a.gateway && l.where.at >= a.where.at &&
-                (repeated == kNever || began_.at(l.query) < repeated) &&
-                (a.final == kNever || l.where.at <= a.final + kNear))
-                out.push_back(&l);
+            const Attempt& attempt = *it->second;
+            if (gateway_name(attempt.gateway) == request.gateway &&
+                attempt.position.at >= request.position.at &&
+                (repeated_at == kNever || first_attempt_at_.at(attempt.request_name) < repeated_at) &&
+                (request.answered_at == kNever ||
+                 attempt.position.at <= request.answered_at + kMaxTimeDifference))
+                out.push_back(&attempt);
         }
         return out;
     }
 
     // ---- rule 1
-    void answers() {
-        for (const StartedAttempt& l : h_.started) {
-            if (!l.mark.empty()) by_mark_.emplace(l.mark, &l);
-            const auto [it, fresh] = began_.try_emplace(l.query, l.where.at);
-            if (!fresh) it->second = std::min(it->second, l.where.at);
+    void check_answers() {
+        for (const Attempt& attempt : history_.attempts) {
+            if (!attempt.idempotency_key.empty()) attempts_by_key_.emplace(attempt.idempotency_key, &attempt);
+            const auto [it, fresh] = first_attempt_at_.try_emplace(attempt.request_name, attempt.position.at);
+            if (!fresh) it->second = std::min(it->second, attempt.position.at);
         }
-        for (const Asked& a : h_.asked)
-            if (!a.mark.empty()) asked_by_mark_.emplace(a.mark, &a);
+        for (const ClientRequest& request : history_.requests)
+            if (!request.idempotency_key.empty()) requests_by_key_.emplace(request.idempotency_key, &request);
         std::map<std::string, CategoryReport> reports;
-        std::map<std::string, std::vector<double>> firsts, paces;
+        std::map<std::string, std::vector<double>> first_tokens, token_intervals;
         std::map<std::string, std::pair<double, double>> attempts;
-        for (const Asked& a : h_.asked) {
-            CategoryReport& c = reports[a.category];
-            c.name = a.category;
-            ++c.asked;
-            const std::string name = a.connection + "#" + a.id + (a.mark.empty() ? "" : " mark " + a.mark);
-            if (a.finals > 1 || a.extra > 0)
-                breach_of(a, name, a.more.front(),
-                          "something more came after the final answer (" + std::to_string(a.finals) +
-                              " final answers, " + std::to_string(a.extra) + " other messages)");
-            if (a.torn_stream)
-                breach_of(a, name, a.where, "the tokens of its stream are doubled, missing or out of order");
-            const Stamp due = a.where.at + a.budget + h_.figures.answer_slack;
-            if (a.final == kNever && a.left != kNever) {
-                ++c.left;
+        for (const ClientRequest& request : history_.requests) {
+            CategoryReport& category = reports[request.category];
+            category.name = request.category;
+            ++category.requests;
+            const std::string name =
+                request.connection + "#" + request.id +
+                (request.idempotency_key.empty() ? "" : " mark " + request.idempotency_key);
+            if (request.final_messages > 1 || request.extra_messages > 0)
+                add_answer_breach(request, name, request.extra_positions.front(),
+                                  "something more came after the final answer (" +
+                                      std::to_string(request.final_messages) + " final answers, " +
+                                      std::to_string(request.extra_messages) + " other messages)");
+            if (request.damaged_stream)
+                add_answer_breach(request, name, request.position,
+                                  "the tokens of its stream are doubled, missing or out of order");
+            const Timestamp deadline =
+                request.position.at + request.time_budget + history_.limits.answer_slack;
+            if (request.answered_at == kNever && request.left_at != kNever) {
+                ++category.client_left;
                 continue;
             }
-            if (a.final == kNever && a.closed != kNever) {
-                const bool killed = ended_near(a.gateway, a.closed, true);
-                const bool crossing =
-                    ended_near(a.gateway, a.closed, false) && a.closed - a.where.at < kCrossing;
+            if (request.answered_at == kNever && request.closed_at != kNever) {
+                const bool killed = ended_near(request.gateway, request.closed_at, true);
+                const bool crossing = ended_near(request.gateway, request.closed_at, false) &&
+                                      request.closed_at - request.position.at < kCrossingWindow;
                 if (killed || crossing)
-                    ++c.lost;
+                    ++category.lost;
                 else
-                    breach_of(a, name, a.where,
-                              "its connection closed without a final answer, and its gateway was not killed");
+                    add_answer_breach(
+                        request, name, request.position,
+                        "its connection closed without a final answer, and its gateway was not killed");
                 continue;
             }
-            if (a.final == kNever) {
-                breach_of(a, name, a.where, "no final answer ever came");
+            if (request.answered_at == kNever) {
+                add_answer_breach(request, name, request.position, "no final answer ever came");
                 continue;
             }
-            if (a.ending == "settled") ++c.settled;
-            if (a.ending == "declined") ++c.declined;
-            if (a.ending == "given up") ++c.given_up;
-            if (a.ending == "not taken") ++c.not_taken;
-            const Stamp begun = std::min(a.first, a.final);
-            if (begun > due && (a.left == kNever || a.left > due))
-                breach_of(a, name, a.where,
-                          "the final answer came " + fixed(ms(a.final - a.where.at)) +
-                              " ms after the query, " + fixed(ms(begun - due)) + " ms too late");
-            r_.longest_late = std::max(r_.longest_late, begun - (a.where.at + a.budget));
-            const Figures::Category& f = figures(a.category);
-            if (a.ending == "settled" && a.first != kNever) {
-                const double first = ms(a.first - a.where.at);
-                firsts[a.category].push_back(first);
-                const double pace = a.tokens > 1 ? ms(a.final - a.first) / (a.tokens - 1) : 0;
-                if (a.tokens > 1) paces[a.category].push_back(pace);
-                const double goal = ms(f.latency_goal) + ms(f.goal_per_thousand) * a.prompt_tokens / 1000;
-                if (first <= goal && (f.token_gap == 0 || pace <= ms(f.token_gap))) ++c.in_goal;
+            if (request.ending == "settled") ++category.completed;
+            if (request.ending == "declined") ++category.rejected;
+            if (request.ending == "given up") ++category.abandoned;
+            if (request.ending == "not taken") ++category.not_accepted;
+            const Timestamp answer_began_at = std::min(request.first_token_at, request.answered_at);
+            if (answer_began_at > deadline && (request.left_at == kNever || request.left_at > deadline))
+                add_answer_breach(
+                    request, name, request.position,
+                    "the final answer came " + fixed(ms(request.answered_at - request.position.at)) +
+                        " ms after the query, " + fixed(ms(answer_began_at - deadline)) + " ms too late");
+            report_.latest_answer = std::max(report_.latest_answer,
+                                             answer_began_at - (request.position.at + request.time_budget));
+            const RuleLimits::Category& category_limits = limits_of(request.category);
+            if (request.ending == "settled" && request.first_token_at != kNever) {
+                const double first = ms(request.first_token_at - request.position.at);
+                first_tokens[request.category].push_back(first);
+                const double token_interval =
+                    request.tokens > 1
+                        ? ms(request.answered_at - request.first_token_at) / (request.tokens - 1)
+                        : 0;
+                if (request.tokens > 1) token_intervals[request.category].push_back(token_interval);
+                const double goal =
+                    ms(category_limits.latency_goal) +
+                    ms(category_limits.goal_per_thousand_tokens) * request.prompt_tokens / 1000;
+                if (first <= goal &&
+                    (category_limits.token_gap == 0 || token_interval <= ms(category_limits.token_gap)))
+                    ++category.in_goal;
             }
-            if (a.ending != "not taken") {
-                attempts[a.category].first += static_cast<double>(attempts_of(a).size());
-                attempts[a.category].second += 1;
+            if (request.ending != "not taken") {
+                attempts[request.category].first += static_cast<double>(attempts_of(request).size());
+                attempts[request.category].second += 1;
             }
         }
-        for (auto& [name, c] : reports) {
-            c.first_ms = quantiles(firsts[name]);
-            c.pace_ms = quantiles(paces[name]);
-            if (attempts[name].second > 0) c.attempts = attempts[name].first / attempts[name].second;
-            r_.categories.push_back(c);
+        for (auto& [name, category] : reports) {
+            category.first_ms = quantiles(first_tokens[name]);
+            category.token_interval_ms = quantiles(token_intervals[name]);
+            if (attempts[name].second > 0) category.attempts = attempts[name].first / attempts[name].second;
+            report_.categories.push_back(category);
         }
     }
 
     // ---- rule 2
-    static bool proves_unrun(const StartedAttempt& l, Stamp by) {
-        return l.reading || (l.out <= by && (l.ending == "full" || l.ending == "nostate"));
+    static bool proves_not_run(const Attempt& attempt, Timestamp by) {
+        return attempt.is_prefill ||
+               (attempt.answered_at <= by && (attempt.ending == "full" || attempt.ending == "nostate"));
     }
 
-    void effects() {
-        std::map<std::string, std::vector<const StartedAttempt*>> ran;
-        for (const auto& [query, attempts] : by_query_) {
-            const Figures::Category& c = figures(attempts.front()->category);
-            if (c.effect == "pure") continue;
-            const StartedAttempt* may_have_run = nullptr;
+    void check_effects() {
+        std::map<std::string, std::vector<const Attempt*>> ran;
+        for (const auto& [request_name, attempts] : attempts_by_request_) {
+            const RuleLimits::Category& category = limits_of(attempts.front()->category);
+            if (category.effect == "pure") continue;
+            const Attempt* may_have_run = nullptr;
             for (std::size_t i = 0; i < attempts.size(); ++i) {
-                const StartedAttempt& l = *attempts[i];
-                if (l.reading) continue;
-                if (l.ran && c.effect == "effectful" && !l.mark.empty()) ran[l.mark].push_back(&l);
+                const Attempt& attempt = *attempts[i];
+                if (attempt.is_prefill) continue;
+                if (attempt.ran && category.effect == "effectful" && !attempt.idempotency_key.empty())
+                    ran[attempt.idempotency_key].push_back(&attempt);
                 for (std::size_t j = 0; j < i; ++j)
-                    if (!proves_unrun(*attempts[j], l.where.at) && !may_have_run) may_have_run = attempts[j];
+                    if (!proves_not_run(*attempts[j], attempt.position.at) && !may_have_run)
+                        may_have_run = attempts[j];
                 if (!may_have_run) continue;
-                if (c.effect == "effectful")
-                    breach(2, query, l.attempt, l.where,
-                           "an effectful query was sent again to " + l.engine + " though its launch " +
-                               may_have_run->attempt + " at " + may_have_run->engine + " may have run");
+                if (category.effect == "effectful")
+                    add_breach(2, request_name, attempt.id, attempt.position,
+                               "an effectful query was sent again to " + attempt.process +
+                                   " though its launch " + may_have_run->id + " at " + may_have_run->process +
+                                   " may have run");
                 else
-                    receipted(l, *may_have_run, c);
+                    check_receipted(attempt, *may_have_run, category);
             }
         }
-        for (const auto& [mark, attempts] : ran)
+        for (const auto& [idempotency_key, attempts] : ran)
             if (attempts.size() > 1)
-                breach(
-                    2, attempts[1]->query, attempts[1]->attempt, attempts[1]->where,
-                    "the effect of mark " + mark + " happened " + std::to_string(attempts.size()) + " times");
-        for (const Asked& a : h_.asked) {
-            const Figures::Category& c = figures(a.category);
-            const bool harmless = c.effect == "pure" || (c.effect == "receipted" && c.group == "all");
-            if (a.ending != "declined" || harmless) continue;
-            for (const StartedAttempt* l : attempts_of(a))
-                if (!proves_unrun(*l, a.final))
-                    breach(2, l->query, l->attempt, a.where,
-                           "declined, which tells that trying again is harmless, though its launch at " +
-                               l->engine + " may have run");
+                add_breach(2, attempts[1]->request_name, attempts[1]->id, attempts[1]->position,
+                           "the effect of mark " + idempotency_key + " happened " +
+                               std::to_string(attempts.size()) + " times");
+        for (const ClientRequest& request : history_.requests) {
+            const RuleLimits::Category& category = limits_of(request.category);
+            const bool harmless = category.effect == "pure" ||
+                                  (category.effect == "receipted" && category.dedup_scope == "all");
+            if (request.ending != "declined" || harmless) continue;
+            for (const Attempt* attempt : attempts_of(request))
+                if (!proves_not_run(*attempt, request.answered_at))
+                    add_breach(2, attempt->request_name, attempt->id, request.position,
+                               "declined, which tells that trying again is harmless, though its launch at " +
+                                   attempt->process + " may have run");
         }
     }
 
-    void receipted(const StartedAttempt& l, const StartedAttempt& first, const Figures::Category& c) {
-        if (l.where.at - first.where.at > c.window)
-            breach(2, l.query, l.attempt, l.where,
-                   "a receipted query was sent again after its mark was forgotten, " +
-                       fixed(ms(l.where.at - first.where.at)) + " ms after launch " + first.attempt);
-        const Run& here = h_.runs[l.run];
-        const Run& there = h_.runs[first.run];
-        if (c.group == "zone" && here.zone != there.zone)
-            breach(2, l.query, l.attempt, l.where,
-                   "a receipted query was sent again outside its zone, to " + l.engine);
-        if (c.group == "cell" && (here.zone != there.zone || here.cell != there.cell))
-            breach(2, l.query, l.attempt, l.where,
-                   "a receipted query was sent again outside its cell, to " + l.engine);
+    void check_receipted(const Attempt& attempt, const Attempt& first, const RuleLimits::Category& category) {
+        if (attempt.position.at - first.position.at > category.dedup_window)
+            add_breach(2, attempt.request_name, attempt.id, attempt.position,
+                       "a receipted query was sent again after its mark was forgotten, " +
+                           fixed(ms(attempt.position.at - first.position.at)) + " ms after launch " +
+                           first.id);
+        const ServerRun& run = history_.server_runs[attempt.run_index];
+        const ServerRun& first_run = history_.server_runs[first.run_index];
+        if (category.dedup_scope == "zone" && run.zone != first_run.zone)
+            add_breach(2, attempt.request_name, attempt.id, attempt.position,
+                       "a receipted query was sent again outside its zone, to " + attempt.process);
+        if (category.dedup_scope == "cell" && (run.zone != first_run.zone || run.cell != first_run.cell))
+            add_breach(2, attempt.request_name, attempt.id, attempt.position,
+                       "a receipted query was sent again outside its cell, to " + attempt.process);
     }
 
     // ---- rule 3
-    void drains() {
-        for (const StartedAttempt& l : h_.started) {
-            const auto gateway = h_.told.find(l.gateway);
-            if (gateway == h_.told.end()) continue;
-            const auto server = gateway->second.find(h_.runs[l.run].server);
+    void check_drains() {
+        for (const Attempt& attempt : history_.attempts) {
+            const auto gateway = history_.notices.find(attempt.gateway);
+            if (gateway == history_.notices.end()) continue;
+            const auto server = gateway->second.find(history_.server_runs[attempt.run_index].address);
             if (server == gateway->second.end()) continue;
-            const Told* barred = nullptr;
-            for (const Told& t : server->second) {
-                if (t.where.at > l.where.at) break;
-                if (t.standing == "ready")
-                    barred = nullptr;
-                else if (!barred)
-                    barred = &t;
+            const StatusNotice* drain_notice = nullptr;
+            for (const StatusNotice& notice : server->second) {
+                if (notice.position.at > attempt.position.at) break;
+                if (notice.status == "ready")
+                    drain_notice = nullptr;
+                else if (!drain_notice)
+                    drain_notice = &notice;
             }
-            if (barred && l.where.at > barred->where.at + h_.figures.drain_grace)
-                breach(3, l.query, l.attempt, l.where,
-                       "sent to " + l.engine + " " + fixed(ms(l.where.at - barred->where.at)) + " ms after " +
-                           l.gateway + " was told that it is " + barred->standing);
+            if (drain_notice && attempt.position.at > drain_notice->position.at + history_.limits.drain_grace)
+                add_breach(3, attempt.request_name, attempt.id, attempt.position,
+                           "sent to " + attempt.process + " " +
+                               fixed(ms(attempt.position.at - drain_notice->position.at)) + " ms after " +
+                               attempt.gateway + " was told that it is " + drain_notice->status);
         }
     }
 
     // ---- rule 4
-    bool knew_of_start(const StartedAttempt& l, const Run& run) const {
-        const auto gateway = h_.told.find(l.gateway);
-        if (gateway == h_.told.end()) return false;
-        const auto server = gateway->second.find(run.server);
+    bool knew_of_start(const Attempt& attempt, const ServerRun& run) const {
+        const auto gateway = history_.notices.find(attempt.gateway);
+        if (gateway == history_.notices.end()) return false;
+        const auto server = gateway->second.find(run.address);
         if (server == gateway->second.end()) return false;
-        return std::any_of(server->second.begin(), server->second.end(), [&](const Told& t) {
-            return t.where.at <= l.where.at && t.born_ms == run.born_ms;
+        return std::any_of(server->second.begin(), server->second.end(), [&](const StatusNotice& notice) {
+            return notice.position.at <= attempt.position.at && notice.started_at_ms == run.started_at_ms;
         });
     }
 
-    void cold_starts() {
-        // What a send weighs is the mean work of its category at that kind of server.
+    void check_cold_starts() {
+        // The weight of an attempt is the mean work of its category at that kind of server.
         std::map<std::pair<std::string, bool>, std::pair<double, double>> work;
-        for (const StartedAttempt& l : h_.started) {
-            auto& [sum, count] = work[{l.category, l.reading}];
-            sum += l.work;
+        for (const Attempt& attempt : history_.attempts) {
+            auto& [sum, count] = work[{attempt.category, attempt.is_prefill}];
+            sum += attempt.work;
             count += 1;
         }
-        for (std::size_t i = 0; i < h_.runs.size(); ++i) {
-            const Run& run = h_.runs[i];
-            if (run.born_ms == 0 || run.warm <= 0) continue;
-            Budget budget{run.engine, 0, 0, run.fell};
+        for (std::size_t i = 0; i < history_.server_runs.size(); ++i) {
+            const ServerRun& run = history_.server_runs[i];
+            if (run.started_at_ms == 0 || run.warm_up_time <= 0) continue;
+            ColdStartBudget budget{run.process, 0, 0, run.fell_over};
             struct Sent {
-                const StartedAttempt* attempt;
+                const Attempt* attempt;
                 double work;
                 bool knew;
             };
             std::vector<Sent> sent;
-            for (const StartedAttempt& l : h_.started) {
-                if (l.run != i || l.where.at > run.where.at + run.warm) continue;
-                const auto& [sum, count] = work.at({l.category, l.reading});
-                sent.push_back({&l, sum / count, knew_of_start(l, run)});
+            for (const Attempt& attempt : history_.attempts) {
+                if (attempt.run_index != i || attempt.position.at > run.position.at + run.warm_up_time)
+                    continue;
+                const auto& [sum, count] = work.at({attempt.category, attempt.is_prefill});
+                sent.push_back({&attempt, sum / count, knew_of_start(attempt, run)});
             }
             std::size_t from = 0;
-            double pushed = 0, known = 0, all = 0, all_known = 0;
-            bool told = false;
+            double sent_work = 0, informed_work = 0, total_work = 0, total_informed_work = 0;
+            bool reported = false;
             for (std::size_t n = 0; n < sent.size(); ++n) {
-                const Stamp at = sent[n].attempt->where.at;
-                pushed += sent[n].work;
-                known += sent[n].knew ? sent[n].work : 0;
-                all += sent[n].work;
-                all_known += sent[n].knew ? sent[n].work : 0;
-                for (; at - sent[from].attempt->where.at > h_.figures.fall; ++from) {
-                    pushed -= sent[from].work;
-                    known -= sent[from].knew ? sent[from].work : 0;
+                const Timestamp at = sent[n].attempt->position.at;
+                sent_work += sent[n].work;
+                informed_work += sent[n].knew ? sent[n].work : 0;
+                total_work += sent[n].work;
+                total_informed_work += sent[n].knew ? sent[n].work : 0;
+                for (; at - sent[from].attempt->position.at > history_.limits.overload_window; ++from) {
+                    sent_work -= sent[from].work;
+                    informed_work -= sent[from].knew ? sent[from].work : 0;
                 }
-                const Stamp begin = std::max(run.where.at, at - h_.figures.fall);
-                const double budgeted = h_.figures.tip_multiple * can_do(run, begin, begin + h_.figures.fall);
-                const double share = pushed / budgeted;
+                const Timestamp begin = std::max(run.position.at, at - history_.limits.overload_window);
+                const double allowed_work =
+                    history_.limits.overload_multiple *
+                    capacity_between(run, begin, begin + history_.limits.overload_window);
+                const double share = sent_work / allowed_work;
                 budget.share = std::max(budget.share, share);
-                const double slack = kSlackAttempts * pushed / static_cast<double>(n - from + 1);
-                // A server that has fallen over was pushed, whatever the sums by mean work say.
-                const bool fell = run.fell && n + 1 == sent.size();
-                if ((pushed <= budgeted + slack && !fell) || known < pushed * 2 / 3 || told) continue;
-                told = true;
-                breach(4, sent[n].attempt->query, sent[n].attempt->attempt, sent[n].attempt->where,
-                       "cold " + run.engine + (run.fell ? " fell over: it was sent " : " was sent ") +
-                           fixed(share, 2) + " times its budget within " + fixed(ms(h_.figures.fall), 0) +
-                           " ms, " + fixed(100 * known / pushed, 0) +
-                           "% of it by gateways that knew of its start");
+                const double slack = kSlackAttempts * sent_work / static_cast<double>(n - from + 1);
+                // A server that has fallen over was overloaded, whatever the sums by mean work say.
+                const bool fell_over = run.fell_over && n + 1 == sent.size();
+                if ((sent_work <= allowed_work + slack && !fell_over) || informed_work < sent_work * 2 / 3 ||
+                    reported)
+                    continue;
+                reported = true;
+                add_breach(4, sent[n].attempt->request_name, sent[n].attempt->id, sent[n].attempt->position,
+                           "cold " + run.process +
+                               (run.fell_over ? " fell over: it was sent " : " was sent ") + fixed(share, 2) +
+                               " times its budget within " + fixed(ms(history_.limits.overload_window), 0) +
+                               " ms, " + fixed(100 * informed_work / sent_work, 0) +
+                               "% of it by gateways that knew of its start");
             }
-            budget.told = all > 0 ? all_known / all : 0;
-            r_.budgets.push_back(budget);
+            budget.informed_share = total_work > 0 ? total_informed_work / total_work : 0;
+            report_.budgets.push_back(budget);
         }
     }
 
-    // What it can do between two times, in tokens, as it warms up evenly.
-    static double can_do(const Run& run, Stamp from, Stamp to) {
-        const auto done_by = [&](Stamp at) {
-            const double age = static_cast<double>(at - run.where.at) / 1e6,
-                         warm = static_cast<double>(run.warm) / 1e6;
-            const double climbing = std::min(age, warm);
-            return run.cold_from * climbing + (1 - run.cold_from) * climbing * climbing / (2 * warm) +
-                   std::max(0.0, age - warm);
+    // Returns the capacity of a server between two times, in tokens, as its speed rises linearly during
+    // warm-up.
+    static double capacity_between(const ServerRun& run, Timestamp from, Timestamp to) {
+        const auto share_done_by = [&](Timestamp at) {
+            const double age = static_cast<double>(at - run.position.at) / 1e6,
+                         warm_up_time = static_cast<double>(run.warm_up_time) / 1e6;
+            const double warming_up = std::min(age, warm_up_time);
+            return run.cold_speed_share * warming_up +
+                   (1 - run.cold_speed_share) * warming_up * warming_up / (2 * warm_up_time) +
+                   std::max(0.0, age - warm_up_time);
         };
-        return run.capacity * (done_by(to) - done_by(from));
+        return run.capacity * (share_done_by(to) - share_done_by(from));
     }
 
     // ---- rule 5
-    // Stretches in which a reader could not hear the gateway that owns a state.
-    std::vector<std::pair<Stamp, Stamp>> deaf_to(const Run& run, const std::string& gateway) const {
-        std::vector<std::pair<Stamp, Stamp>> out = run.deaf;
-        const auto zone = h_.zone_of.find(gateway_name(gateway));
-        if (zone == h_.zone_of.end() || zone->second == run.zone) return out;
-        for (const auto& [cut, spans] : h_.cuts)
-            if (cut == zone->second || cut == run.zone) out.insert(out.end(), spans.begin(), spans.end());
+    // Periods in which a prefill server could not be reached by the gateway that owns a state.
+    std::vector<std::pair<Timestamp, Timestamp>> unreachable_from(const ServerRun& run,
+                                                                  const std::string& gateway) const {
+        std::vector<std::pair<Timestamp, Timestamp>> out = run.unreachable;
+        const auto zone = history_.zone_of.find(gateway_name(gateway));
+        if (zone == history_.zone_of.end() || zone->second == run.zone) return out;
+        for (const auto& [cut, periods] : history_.cuts)
+            if (cut == zone->second || cut == run.zone) out.insert(out.end(), periods.begin(), periods.end());
         return out;
     }
 
-    void pins() {
-        for (const Held& s : h_.held) {
-            const std::string gateway = s.state.substr(0, s.state.rfind('/'));
-            // What a gateway that was killed has left is freed some seconds later; that is not its breach,
-            // also where the read ended only after the kill.
-            Stamp asked = s.where.at;
-            if (const auto it = by_query_.find(s.query); it != by_query_.end())
-                for (const StartedAttempt* l : it->second)
-                    if (l->reading && l->state == s.state) asked = std::min(asked, l->where.at);
-            const auto ends = h_.ends.find(gateway_name(gateway));
-            Stamp until = s.until;
-            if (ends != h_.ends.end())
-                for (const Ended& e : ends->second)
-                    if (e.by_force && e.at >= asked) until = std::min(until, std::max(e.at, s.where.at));
+    void check_held_states() {
+        for (const HeldState& state : history_.held_states) {
+            const std::string gateway = state.id.substr(0, state.id.rfind('/'));
+            // A state left by a gateway that was killed is freed some seconds later; that is no breach by
+            // that gateway, even if the prefill ended only after the kill.
+            Timestamp prefill_at = state.position.at;
+            if (const auto it = attempts_by_request_.find(state.request_name);
+                it != attempts_by_request_.end())
+                for (const Attempt* attempt : it->second)
+                    if (attempt->is_prefill && attempt->state_id == state.id)
+                        prefill_at = std::min(prefill_at, attempt->position.at);
+            const auto process_ends = history_.process_ends.find(gateway_name(gateway));
+            Timestamp until = state.until;
+            if (process_ends != history_.process_ends.end())
+                for (const ProcessEnd& e : process_ends->second)
+                    if (e.by_force && e.at >= prefill_at)
+                        until = std::min(until, std::max(e.at, state.position.at));
             if (until == kNever) {
-                breach(5, s.query, "", s.where,
-                       "the state " + s.state + " at " + s.engine + " was never taken nor let go");
+                add_breach(5, state.request_name, "", state.position,
+                           "the state " + state.id + " at " + state.process + " was never taken nor let go");
                 continue;
             }
-            std::vector<std::pair<Stamp, Stamp>> busy = deaf_to(h_.runs[s.run], gateway);
-            if (const auto it = by_query_.find(s.query); it != by_query_.end())
-                for (const StartedAttempt* l : it->second) busy.emplace_back(l->where.at, l->over);
+            std::vector<std::pair<Timestamp, Timestamp>> busy =
+                unreachable_from(history_.server_runs[state.run_index], gateway);
+            if (const auto it = attempts_by_request_.find(state.request_name);
+                it != attempts_by_request_.end())
+                for (const Attempt* attempt : it->second)
+                    busy.emplace_back(attempt->position.at, attempt->ended_at);
             std::sort(busy.begin(), busy.end());
-            Stamp free_since = s.where.at, longest = 0;
+            Timestamp free_since = state.position.at, longest = 0;
             for (const auto& [from, to] : busy) {
                 if (from >= until) break;
                 longest = std::max(longest, from - free_since);
                 free_since = std::max(free_since, std::min(to, until));
             }
             longest = std::max(longest, until - free_since);
-            r_.longest_pinned = std::max(r_.longest_pinned, longest);
-            if (longest > h_.figures.release_within)
-                breach(5, s.query, "", s.where,
-                       "the state " + s.state + " lay at " + s.engine + " for " + fixed(ms(longest)) +
-                           " ms while no launch of its query was out (" +
-                           (s.why.empty() ? "not freed" : s.why) + ")");
+            report_.longest_held = std::max(report_.longest_held, longest);
+            if (longest > history_.limits.release_within)
+                add_breach(5, state.request_name, "", state.position,
+                           "the state " + state.id + " lay at " + state.process + " for " +
+                               fixed(ms(longest)) + " ms while no launch of its query was out (" +
+                               (state.why.empty() ? "not freed" : state.why) + ")");
         }
     }
 
-    void waste() {
+    void sum_waste() {
         std::set<std::string> fetched;
-        for (const Held& s : h_.held)
-            if (s.why == "fetched") fetched.insert(s.state);
-        for (const StartedAttempt& l : h_.started) {
-            const bool useful = l.reading ? fetched.count(l.state) != 0 : l.ending == "settled" && !l.lost;
-            (l.reading ? r_.read_work : r_.write_work) += l.work;
-            if (!useful && l.ending != "full" && l.ending != "nostate")
-                (l.reading ? r_.read_wasted : r_.write_wasted) += l.work;
+        for (const HeldState& state : history_.held_states)
+            if (state.why == "fetched") fetched.insert(state.id);
+        for (const Attempt& attempt : history_.attempts) {
+            const bool useful = attempt.is_prefill ? fetched.count(attempt.state_id) != 0
+                                                   : attempt.ending == "settled" && !attempt.answer_lost;
+            (attempt.is_prefill ? report_.prefill_work : report_.decode_work) += attempt.work;
+            if (!useful && attempt.ending != "full" && attempt.ending != "nostate")
+                (attempt.is_prefill ? report_.prefill_wasted : report_.decode_wasted) += attempt.work;
         }
     }
 
-    const History& h_;
-    Report r_;
-    std::map<std::string, std::vector<const StartedAttempt*>> by_query_;
-    std::multimap<std::string, const StartedAttempt*> by_mark_;
-    std::multimap<std::string, const Asked*> asked_by_mark_;
-    std::map<std::string, Stamp> began_;  // by query: its first attempt
-    std::map<std::string, std::vector<const Run*>> runs_of_;
+    const History& history_;
+    Report report_;
+    std::map<std::string, std::vector<const Attempt*>> attempts_by_request_;
+    std::multimap<std::string, const Attempt*> attempts_by_key_;
+    std::multimap<std::string, const ClientRequest*> requests_by_key_;
+    std::map<std::string, Timestamp> first_attempt_at_;  // by request: time of its first attempt
+    std::map<std::string, std::vector<const ServerRun*>> runs_by_address_;
 };
 
-constexpr const char* kRules[] = {"",
-                                  "no query is lost",
-                                  "no effect happens twice",
-                                  "drains are kept",
-                                  "no cold server is pushed over",
-                                  "nothing is left pinned"};
-constexpr std::size_t kMostTold = 20;  // breaches of one rule that are printed
+constexpr const char* kRuleTexts[] = {"",
+                                      "no query is lost",
+                                      "no effect happens twice",
+                                      "drains are kept",
+                                      "no cold server is pushed over",
+                                      "nothing is left pinned"};
+constexpr std::size_t kMaxPrintedBreaches = 20;  // breaches of one rule that are printed
 
 }  // namespace
 
@@ -438,26 +485,27 @@
                   "category", "asked", "settled", "in goal", "declined", "given up", "not taken", "left",
                   "lost", "first p50", "p99 ms", "pace p50", "p99 ms", "launches");
     out += line;
-    for (const CategoryReport& c : r.categories) {
+    for (const CategoryReport& category : r.categories) {
         std::snprintf(line, sizeof line,
                       "%-16s %7zu %8zu %8zu %8zu %8zu %9zu %5zu %5zu | %9.1f %9.1f | %8.1f %8.1f | %.2f\n",
-                      c.name.c_str(), c.asked, c.settled, c.in_goal, c.declined, c.given_up, c.not_taken,
-                      c.left, c.lost, c.first_ms.half, c.first_ms.ninety_nine, c.pace_ms.half,
-                      c.pace_ms.ninety_nine, c.attempts);
+                      category.name.c_str(), category.requests, category.completed, category.in_goal,
+                      category.rejected, category.abandoned, category.not_accepted, category.client_left,
+                      category.lost, category.first_ms.p50, category.first_ms.p99,
+                      category.token_interval_ms.p50, category.token_interval_ms.p99, category.attempts);
         out += line;
     }
-    const auto share = [](double part, double whole) { return whole > 0 ? 100 * part / whole : 0; };
+    const auto share = [](double fraction, double whole) { return whole > 0 ? 100 * fraction / whole : 0; };
     std::snprintf(line, sizeof line, "\nwork wasted: %.1f%% of prompt tokens read, %.1f%% of answer tokens\n",
-                  share(r.read_wasted, r.read_work), share(r.write_wasted, r.write_work));
+                  share(r.prefill_wasted, r.prefill_work), share(r.decode_wasted, r.decode_work));
     out += line;
     std::snprintf(
         line, sizeof line,
         "longest a state lay pinned: %.0f ms; latest first answer against its hard stop: %+.0f ms\n",
-        ms(r.longest_pinned), ms(r.longest_late));
+        ms(r.longest_held), ms(r.latest_answer));
     out += line;
-    for (const Budget& b : r.budgets) {
+    for (const ColdStartBudget& b : r.budgets) {
         std::snprintf(line, sizeof line, "cold start of %s: at most %.2f of its budget used%s\n",
-                      b.engine.c_str(), b.share, b.fell ? "; it fell over" : "");
+                      b.process.c_str(), b.share, b.fell_over ? "; it fell over" : "");
         out += line;
     }
     for (const std::string& note : r.notes) out += "note: " + note + "\n";
@@ -466,23 +514,24 @@
     for (int rule = 1; rule <= 5; ++rule) {
         const auto count = std::count_if(r.breaches.begin(), r.breaches.end(),
                                          [&](const Breach& b) { return b.rule == rule; });
-        out += "rule " + std::to_string(rule) + ", " + kRules[rule] + ": " +
+        out += "rule " + std::to_string(rule) + ", " + kRuleTexts[rule] + ": " +
                (count == 0 ? r.gaps.empty() ? "kept" : "no breach seen"
                            : "BROKEN " + std::to_string(count) + " times") +
                "\n";
-        std::size_t told = 0;
+        std::size_t reported = 0;
         for (const Breach& b : r.breaches) {
-            if (b.rule != rule || ++told > kMostTold) continue;
-            out += "  query " + b.query + (b.attempt.empty() ? "" : ", launch " + b.attempt) + ", " +
-                   fixed(static_cast<double>(b.where.at) / 1e6, 3) + " s, " + b.where.file + ":" +
-                   std::to_string(b.where.line) + ": " + b.what + "\n";
-            for (std::size_t from = 0; from < b.story.size();) {
-                const std::size_t end = std::min(b.story.find('\n', from), b.story.size());
-                out += "      " + b.story.substr(from, end - from) + "\n";
+            if (b.rule != rule || ++reported > kMaxPrintedBreaches) continue;
+            out += "  query " + b.request_name + (b.attempt.empty() ? "" : ", launch " + b.attempt) + ", " +
+                   fixed(static_cast<double>(b.position.at) / 1e6, 3) + " s, " + b.position.file + ":" +
+                   std::to_string(b.position.line) + ": " + b.what + "\n";
+            for (std::size_t from = 0; from < b.explanation.size();) {
+                const std::size_t end = std::min(b.explanation.find('\n', from), b.explanation.size());
+                out += "      " + b.explanation.substr(from, end - from) + "\n";
                 from = end + 1;
             }
         }
-        if (told > kMostTold) out += "  and " + std::to_string(told - kMostTold) + " more\n";
+        if (reported > kMaxPrintedBreaches)
+            out += "  and " + std::to_string(reported - kMaxPrintedBreaches) + " more\n";
     }
     return out;
 }
@@ -490,44 +539,44 @@
 std::string json_of(const Report& r) {
     using Json = nlohmann::json;
     Json out = {{"clean", r.clean()},
-                {"longest_pinned_ms", ms(r.longest_pinned)},
-                {"latest_ms", ms(r.longest_late)},
-                {"read_work", r.read_work},
-                {"read_wasted", r.read_wasted},
-                {"write_work", r.write_work},
-                {"write_wasted", r.write_wasted},
+                {"longest_pinned_ms", ms(r.longest_held)},
+                {"latest_ms", ms(r.latest_answer)},
+                {"read_work", r.prefill_work},
+                {"read_wasted", r.prefill_wasted},
+                {"write_work", r.decode_work},
+                {"write_wasted", r.decode_wasted},
                 {"notes", r.notes},
                 {"gaps", r.gaps}};
     out["breaches"] = Json::array();
     for (const Breach& b : r.breaches)
         out["breaches"].push_back({{"rule", b.rule},
-                                   {"query", b.query},
+                                   {"query", b.request_name},
                                    {"launch", b.attempt},
                                    {"what", b.what},
-                                   {"story", b.story},
-                                   {"file", b.where.file},
-                                   {"line", b.where.line},
-                                   {"at_us", b.where.at}});
+                                   {"story", b.explanation},
+                                   {"file", b.position.file},
+                                   {"line", b.position.line},
+                                   {"at_us", b.position.at}});
     out["categories"] = Json::array();
-    for (const CategoryReport& c : r.categories)
-        out["categories"].push_back({{"name", c.name},
-                                     {"asked", c.asked},
-                                     {"settled", c.settled},
-                                     {"in_goal", c.in_goal},
-                                     {"declined", c.declined},
-                                     {"given_up", c.given_up},
-                                     {"not_taken", c.not_taken},
-                                     {"left", c.left},
-                                     {"lost", c.lost},
-                                     {"first_p50_ms", c.first_ms.half},
-                                     {"first_p99_ms", c.first_ms.ninety_nine},
-                                     {"pace_p50_ms", c.pace_ms.half},
-                                     {"pace_p99_ms", c.pace_ms.ninety_nine},
-                                     {"launches", c.attempts}});
+    for (const CategoryReport& category : r.categories)
+        out["categories"].push_back({{"name", category.name},
+                                     {"asked", category.requests},
+                                     {"settled", category.completed},
+                                     {"in_goal", category.in_goal},
+                                     {"declined", category.rejected},
+                                     {"given_up", category.abandoned},
+                                     {"not_taken", category.not_accepted},
+                                     {"left", category.client_left},
+                                     {"lost", category.lost},
+                                     {"first_p50_ms", category.first_ms.p50},
+                                     {"first_p99_ms", category.first_ms.p99},
+                                     {"pace_p50_ms", category.token_interval_ms.p50},
+                                     {"pace_p99_ms", category.token_interval_ms.p99},
+                                     {"launches", category.attempts}});
     out["budgets"] = Json::array();
-    for (const Budget& b : r.budgets)
+    for (const ColdStartBudget& b : r.budgets)
         out["budgets"].push_back(
-            {{"engine", b.engine}, {"share", b.share}, {"told", b.told}, {"fell", b.fell}});
+            {{"engine", b.process}, {"share", b.share}, {"told", b.informed_share}, {"fell", b.fell_over}});
     return out.dump(1);
 }
 
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -1,5 +1,6 @@
-// Checks the five rules on the records of a day, with the wording that the users gave them, and tells how the
-// day went. It reads what peers saw on their sockets and nothing of the gateways' own.
+// Checks the five rules, as worded by the users, on the records of a scenario and summarises its results.
+// Reads what clients, servers and the roster recorded on their sockets, and nothing recorded by the gateways
+// themselves.
 #pragma once
 
 #include <string>
@@ -11,40 +12,40 @@
 
 struct Breach {
     int rule = 0;
-    std::string query, attempt, what;
-    Where where;
-    std::string traced;  // the query's name at its gateway, where it is known
-    std::string story;   // of its decisions, where traces were kept
+    std::string request_name, attempt, what;
+    RecordPosition position;
+    std::string trace_name;   // name of the request at its gateway, if known
+    std::string explanation;  // explanation of its decisions, where traces were kept
 };
 
-struct Budget {  // of one cold start
-    std::string engine;
-    double share = 0;  // the most of its budget that was used in any window
-    double told = 0;   // part of the work there that came from gateways that knew of its start
-    bool fell = false;
+struct ColdStartBudget {  // load of one cold start relative to its limit
+    std::string process;
+    double share = 0;           // maximum share of the budget that was used in any window
+    double informed_share = 0;  // share of that work that came from gateways that knew of the start
+    bool fell_over = false;
 };
 
 struct Quantiles {
     std::size_t count = 0;
-    double half = 0, ninety = 0, ninety_nine = 0;
+    double p50 = 0, p90 = 0, p99 = 0;
 };
 
 struct CategoryReport {
     std::string name;
-    std::size_t asked = 0, settled = 0, in_goal = 0, declined = 0, given_up = 0, not_taken = 0, left = 0,
-                lost = 0;
-    Quantiles first_ms, pace_ms;
-    double attempts = 0;  // a query that was taken
+    std::size_t requests = 0, completed = 0, in_goal = 0, rejected = 0, abandoned = 0, not_accepted = 0,
+                client_left = 0, lost = 0;
+    Quantiles first_ms, token_interval_ms;
+    double attempts = 0;  // per request that was taken
 };
 
 struct Report {
     std::vector<Breach> breaches;
     std::vector<CategoryReport> categories;
-    std::vector<Budget> budgets;
-    double read_work = 0, read_wasted = 0, write_work = 0, write_wasted = 0;  // tokens
-    Stamp longest_pinned = 0, longest_late = 0;
+    std::vector<ColdStartBudget> budgets;
+    double prefill_work = 0, prefill_wasted = 0, decode_work = 0, decode_wasted = 0;  // tokens
+    Timestamp longest_held = 0, latest_answer = 0;
     std::vector<std::string> notes, gaps;
-    // A verdict needs whole records: gaps are no clean bill.
+    // A verdict requires complete records, so gaps prevent a pass.
     bool clean() const { return breaches.empty() && gaps.empty(); }
 };
 
--- a/src/audit/decisions.cpp
+++ b/src/audit/decisions.cpp
@@ -9,32 +9,33 @@
 
 namespace copperfront::audit {
 
-void add_decisions(Report& report, const std::string& folder, std::size_t most) {
+void add_decisions(Report& report, const std::string& folder, std::size_t max_per_rule) {
     if (report.breaches.empty()) return;
     std::vector<std::unique_ptr<trace::TraceFile>> files;
-    std::vector<const trace::TraceFile*> views;
-    for (const trace::Disk::Kept& kept : trace::RealDisk().list(folder)) {
-        if (kept.name.size() < 5 || kept.name.substr(kept.name.size() - 4) != ".cft") continue;
+    std::vector<const trace::TraceFile*> file_pointers;
+    for (const trace::Disk::FileEntry& entry : trace::RealDisk().list(folder)) {
+        if (entry.name.size() < 5 || entry.name.substr(entry.name.size() - 4) != ".cft") continue;
         std::string why;
-        auto source = trace::open_source(folder + "/" + kept.name, why);
-        auto file = source ? trace::TraceFile::open(std::move(source), kept.name, why) : nullptr;
+        auto source = trace::open_source(folder + "/" + entry.name, why);
+        auto file = source ? trace::TraceFile::open(std::move(source), entry.name, why) : nullptr;
         if (!file) {
-            report.notes.push_back("trace " + kept.name + ": " + why);
+            report.notes.push_back("trace " + entry.name + ": " + why);
             continue;
         }
-        views.push_back(file.get());
+        file_pointers.push_back(file.get());
         files.push_back(std::move(file));
     }
-    std::map<int, std::size_t> told;
+    std::map<int, std::size_t> explained;
     for (Breach& breach : report.breaches) {
-        trace::QueryName name;
-        if (told[breach.rule] >= most || !trace::read_query_name(breach.traced, name) || name.origin.empty())
+        trace::RequestName name;
+        if (explained[breach.rule] >= max_per_rule || !trace::parse_request_name(breach.trace_name, name) ||
+            name.origin.empty())
             continue;
         trace::Pool pool;
-        const trace::Found found = trace::rows_of(views, name, pool);
-        breach.story = trace::story(found.rows, pool);
-        if (!breach.story.empty()) ++told[breach.rule];
-        for (const std::string& trouble : found.troubles) report.notes.push_back("trace " + trouble);
+        const trace::Found found = trace::rows_of(file_pointers, name, pool);
+        breach.explanation = trace::story(found.rows, pool);
+        if (!breach.explanation.empty()) ++explained[breach.rule];
+        for (const std::string& error : found.troubles) report.notes.push_back("trace " + error);
     }
 }
 
--- a/src/audit/decisions.h
+++ b/src/audit/decisions.h
@@ -1,5 +1,5 @@
-// The decision behind a breach, from the traces that gateways kept. The verdict stays with what peers saw:
-// this only adds to it what the gateway knew and why it did what it did.
+// Adds the decisions behind a breach from the traces that the gateways kept. The verdict rests on what peers
+// recorded; this only adds what the gateway knew and why it acted as it did.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace copperfront::audit {
 
-// Adds the story of its query to each breach that has one in the traces of this folder, to so many breaches
-// of a rule at most. What cannot be read of a trace is told in the report's notes.
-void add_decisions(Report& report, const std::string& folder, std::size_t most = 5);
+// Adds the explanation of its request to each breach that has one in the traces of this folder, for at most
+// `max_per_rule` breaches of each rule. Errors in reading traces are added to the notes of the report.
+void add_decisions(Report& report, const std::string& folder, std::size_t max_per_rule = 5);
 
 }  // namespace copperfront::audit
--- a/src/audit/history.h
+++ b/src/audit/history.h
@@ -1,6 +1,6 @@
-// The records of a day, joined: what callers asked and got, which attempts each engine saw, which states lay
-// where, who was told what of which server, and which processes ended by force. Read from the peers' records
-// alone.
+// Joins the records of a scenario: what clients sent and received, which attempts each server got, which
+// states it held, which server status each gateway was notified of, and which processes were killed. Reads
+// the records of the peers only.
 #pragma once
 
 #include <cstdint>
@@ -13,97 +13,100 @@
 
 namespace copperfront::audit {
 
-using Stamp = std::int64_t;  // microseconds of the machine's monotonic clock
-constexpr Stamp kNever = INT64_MAX;
+using Timestamp = std::int64_t;  // microseconds of the machine's monotonic clock
+constexpr Timestamp kNever = INT64_MAX;
 
-// Figures of the rules, as the runner recorded them from the terms file.
-struct Figures {
-    Stamp answer_slack = 0, drain_grace = 0, fall = 0, release_within = 0;
-    double tip_multiple = 1;
+// Limits of the rules, as the runner recorded them from the terms file.
+struct RuleLimits {
+    Timestamp answer_slack = 0, drain_grace = 0, overload_window = 0, release_within = 0;
+    double overload_multiple = 1;
     struct Category {
-        std::string effect = "pure", group = "all";
-        Stamp window = 0, latency_goal = 0, goal_per_thousand = 0, token_gap = 0;
+        std::string effect = "pure", dedup_scope = "all";
+        Timestamp dedup_window = 0, latency_goal = 0, goal_per_thousand_tokens = 0, token_gap = 0;
     };
     std::map<std::string, Category> categories;
 };
 
-struct Where {
+struct RecordPosition {
     std::string file;
     std::size_t line = 0;
-    Stamp at = 0;
+    Timestamp at = 0;
 };
 
-struct Asked {
-    Where where;
-    std::string gateway, category, mark, id, connection;
+struct ClientRequest {
+    RecordPosition position;
+    std::string gateway, category, idempotency_key, id, connection;
     double prompt_tokens = 0;
-    Stamp budget = 0;
-    Stamp first = kNever, final = kNever, left = kNever, closed = kNever;
-    std::string ending;  // settled, declined, given up, not taken
-    std::size_t finals = 0, extra = 0;
+    Timestamp time_budget = 0;
+    Timestamp first_token_at = kNever, answered_at = kNever, left_at = kNever, closed_at = kNever;
+    std::string ending;  // settled, declined, given up, not taken: as recorded by the client
+    std::size_t final_messages = 0, extra_messages = 0;
     double tokens = 0;
-    bool torn_stream = false;  // tokens out of order, doubled or missing
-    std::vector<Where> more;   // where each extra message stands
+    bool damaged_stream = false;                  // tokens are out of order, duplicated or missing
+    std::vector<RecordPosition> extra_positions;  // position of each extra message
 };
 
-struct StartedAttempt {
-    Where where;
-    std::string engine, query, attempt, gateway, category, mark, state;
-    bool reading = false, told_cold = false;
+struct Attempt {
+    RecordPosition position;
+    std::string process, request_name, id, gateway, category, idempotency_key, state_id;
+    bool is_prefill = false, knew_of_cold_start = false;
     double work = 0;
-    Stamp out = kNever;   // its answer left the engine
-    Stamp over = kNever;  // nobody waits for it any more: answered, called off, its link or its engine gone
+    Timestamp answered_at = kNever;  // time at which its answer left the server
+    Timestamp ended_at = kNever;  // time from which nobody waits for it: it was answered or cancelled, or its
+                                  // connection or its server ended
     std::string ending;
-    bool lost = false, ran = false;
+    bool answer_lost = false, ran = false;
     double tokens = 0;
-    std::size_t run = 0;  // of the engine's process
+    std::size_t run_index = 0;  // of the server's process
 };
 
-struct Held {
-    Where where;
-    std::string engine, query, state, why;
-    Stamp until = kNever;
-    std::size_t run = 0;
+struct HeldState {
+    RecordPosition position;
+    std::string process, request_name, id, why;
+    Timestamp until = kNever;
+    std::size_t run_index = 0;
 };
 
-// One run of an engine's process.
-struct Run {
-    Where where;
-    std::string engine, server, zone, cell, role;
-    std::int64_t born_ms = 0;
-    double capacity = 0, cold_from = 1;
-    Stamp warm = 0, until = kNever;
-    bool fell = false;
-    std::vector<std::pair<Stamp, Stamp>> deaf;  // cut off or hung: gateways could not reach it
+// One run of a server's process.
+struct ServerRun {
+    RecordPosition position;
+    std::string process, address, zone, cell, role;
+    std::int64_t started_at_ms = 0;
+    double capacity = 0, cold_speed_share = 1;
+    Timestamp warm_up_time = 0, until = kNever;
+    bool fell_over = false;
+    std::vector<std::pair<Timestamp, Timestamp>>
+        unreachable;  // periods in which it was cut off or hung, so that gateways could not reach it
 };
 
-struct Told {
-    Where where;
-    std::string standing;  // ready, draining, gone
-    std::int64_t born_ms = 0;
+struct StatusNotice {
+    RecordPosition position;
+    std::string status;  // ready, draining, gone: as recorded by the roster
+    std::int64_t started_at_ms = 0;
 };
 
-struct Ended {
-    Stamp at = 0;
+struct ProcessEnd {
+    Timestamp at = 0;
     bool by_force = false;
 };
 
 struct History {
-    Figures figures;
-    std::vector<Asked> asked;
-    std::vector<StartedAttempt> started;  // in time
-    std::vector<Held> held;
-    std::vector<Run> runs;
-    // By gateway's name and life, then by server's address.
-    std::map<std::string, std::map<std::string, std::vector<Told>>> told;
-    std::map<std::string, std::vector<Ended>> ends;                    // of processes, by name
-    std::map<std::string, std::string> zone_of;                        // of gateways
-    std::map<std::string, std::vector<std::pair<Stamp, Stamp>>> cuts;  // by zone: cut off from the others
-    std::vector<std::string> notes;                                    // torn records, missing end marks
-    std::vector<std::string> gaps;  // what makes the records unfit for a verdict
+    RuleLimits limits;
+    std::vector<ClientRequest> requests;
+    std::vector<Attempt> attempts;  // sorted by time
+    std::vector<HeldState> held_states;
+    std::vector<ServerRun> server_runs;
+    // By the gateway's name and life, then by the server's address.
+    std::map<std::string, std::map<std::string, std::vector<StatusNotice>>> notices;
+    std::map<std::string, std::vector<ProcessEnd>> process_ends;  // of processes, by name
+    std::map<std::string, std::string> zone_of;                   // of gateways
+    std::map<std::string, std::vector<std::pair<Timestamp, Timestamp>>>
+        cuts;                        // by zone: periods in which it was cut off from the others
+    std::vector<std::string> notes;  // damaged records, missing end marks
+    std::vector<std::string> gaps;   // reasons why the records do not allow a verdict
 };
 
-// Throws std::runtime_error where the folder or its files cannot be read.
+// Throws std::runtime_error if the folder or its files cannot be read.
 History read_history(const std::string& folder);
 
 }  // namespace copperfront::audit
--- a/src/trace/anonymise.h
+++ b/src/trace/anonymise.h
@@ -1,6 +1,6 @@
-// A trace that tells nothing of its callers: sessions, beginnings, client groups, routes and gateways get
-// marks that only the holder of a key could make. What was equal stays equal under one key, and nothing comes
-// back without it.
+// Anonymises a trace: sessions, shared prefixes, client groups, routes, servers and gateways are replaced by
+// keyed hashes (HMAC-SHA256) that only the holder of the key can compute. Equal values stay equal under one
+// key, and the original values cannot be recovered without it.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,26 @@
 namespace copperfront::trace {
 
 struct Coarsening {
-    std::int64_t time_us = 0;  // times are cut to this; 0: kept
-    std::int64_t tokens = 0;   // sizes are rounded up to a multiple of this; 0: kept
+    std::int64_t time_us = 0;  // times are rounded down to a multiple of this; 0: kept
+    std::int64_t tokens = 0;   // token counts are rounded up to a multiple of this; 0: kept
 };
 
 class Anonymiser {
   public:
-    // The key: any bytes but none; HMAC-SHA256 (RFC 2104) makes the marks.
+    // `key` is any non-empty string of bytes, used as the key of HMAC-SHA256 (RFC 2104).
     Anonymiser(std::string key, const Coarsening& coarsening, Pool& pool);
-    void change(Row& row);
+    void anonymise(Row& row);
 
   private:
-    std::uint64_t mark(const char* kind, const std::string& value) const;
-    std::int64_t mark_of(const char* kind, std::int64_t value);
-    std::int64_t name_of(const char* kind, std::int64_t code);
+    std::uint64_t keyed_hash(const char* kind, const std::string& value) const;
+    std::int64_t anonymised_hash(const char* kind, std::int64_t value);
+    std::int64_t anonymised_name(const char* kind, std::int64_t code);
 
     std::string key_;
     Coarsening coarsening_;
     Pool& pool_;
-    // Of names, which are few. Marks of sessions are made anew each time: there may be millions.
+    // Caches anonymised names, which are few. Hashes of sessions are recomputed each time: there may be
+    // millions.
     std::unordered_map<std::string, std::int64_t> names_;
 };
 
--- a/src/trace/bytes.h
+++ b/src/trace/bytes.h
@@ -1,5 +1,5 @@
-// Little-endian figures and varints (LEB128) in bytes, written and read; a reader that runs out says so and
-// goes on giving zeros. Free of I/O.
+// Writes and reads little-endian integers and varints (LEB128) in byte strings. A ByteReader that runs out of
+// bytes records the failure and returns zeros from then on. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 }
 inline std::int64_t unzigzag(std::uint64_t v) { return static_cast<std::int64_t>((v >> 1) ^ (~(v & 1) + 1)); }
 
-class Bytes {
+class ByteWriter {
   public:
-    explicit Bytes(std::string& out) : out_(out) {}
+    explicit ByteWriter(std::string& out) : out_(out) {}
     template <class T>
     void fixed(T value) {
         for (std::size_t n = 0; n < sizeof value; ++n)
@@ -38,15 +38,15 @@
     std::string& out_;
 };
 
-class Cursor {
+class ByteReader {
   public:
-    explicit Cursor(std::string_view bytes) : at_(bytes.data()), end_(bytes.data() + bytes.size()) {}
-    bool well() const { return well_; }
+    explicit ByteReader(std::string_view bytes) : at_(bytes.data()), end_(bytes.data() + bytes.size()) {}
+    bool ok() const { return ok_; }
     bool done() const { return at_ == end_; }
-    std::size_t left() const { return static_cast<std::size_t>(end_ - at_); }
+    std::size_t remaining() const { return static_cast<std::size_t>(end_ - at_); }
     template <class T>
     T fixed() {
-        if (left() < sizeof(T)) return fail<T>();
+        if (remaining() < sizeof(T)) return fail<T>();
         std::uint64_t v = 0;
         for (std::size_t n = 0; n < sizeof(T); ++n)
             v |= static_cast<std::uint64_t>(static_cast<unsigned char>(*at_++)) << (8 * n);
@@ -64,7 +64,7 @@
     }
     std::int64_t number() { return unzigzag(varint()); }
     std::string_view take(std::uint64_t n) {
-        if (n > left()) {
+        if (n > remaining()) {
             fail<int>();
             return {};
         }
@@ -77,13 +77,13 @@
   private:
     template <class T>
     T fail() {
-        well_ = false;
+        ok_ = false;
         at_ = end_;
         return T{};
     }
     const char* at_;
     const char* end_;
-    bool well_ = true;
+    bool ok_ = true;
 };
 
 }  // namespace copperfront::trace
--- a/src/trace/disk.cpp
+++ b/src/trace/disk.cpp
@@ -11,14 +11,14 @@
 namespace copperfront::trace {
 namespace {
 
-class FileOut : public Out {
+class PosixOutputFile : public OutputFile {
   public:
-    FileOut(int fd, bool owned) : fd_(fd), owned_(owned) {}
-    ~FileOut() override {
+    PosixOutputFile(int fd, bool owned) : fd_(fd), owned_(owned) {}
+    ~PosixOutputFile() override {
         if (owned_) ::close(fd_);
     }
-    FileOut(const FileOut&) = delete;
-    FileOut& operator=(const FileOut&) = delete;
+    PosixOutputFile(const PosixOutputFile&) = delete;
+    PosixOutputFile& operator=(const PosixOutputFile&) = delete;
     bool append(std::string_view bytes, std::string& why) override {
         while (!bytes.empty()) {
             const ssize_t n = ::write(fd_, bytes.data(), bytes.size());
@@ -49,23 +49,23 @@
 
 }  // namespace
 
-std::unique_ptr<Out> RealDisk::create(const std::string& path, std::string& why) {
+std::unique_ptr<OutputFile> RealDisk::create(const std::string& path, std::string& why) {
     const int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0640);
-    if (fd >= 0) return std::make_unique<FileOut>(fd, true);
+    if (fd >= 0) return std::make_unique<PosixOutputFile>(fd, true);
     why = path + ": " + std::strerror(errno);
     return nullptr;
 }
 
-std::vector<Disk::Kept> RealDisk::list(const std::string& folder) {
-    std::vector<Kept> out;
-    std::error_code trouble;
-    for (const auto& entry : std::filesystem::directory_iterator(folder, trouble)) {
-        std::error_code one;
-        if (!entry.is_regular_file(one)) continue;
-        const auto size = entry.file_size(one);
-        if (!one) out.push_back({entry.path().filename().string(), static_cast<std::uint64_t>(size)});
+std::vector<Disk::FileEntry> RealDisk::list(const std::string& folder) {
+    std::vector<FileEntry> out;
+    std::error_code error;
+    for (const auto& entry : std::filesystem::directory_iterator(folder, error)) {
+        std::error_code entry_error;
+        if (!entry.is_regular_file(entry_error)) continue;
+        const auto size = entry.file_size(entry_error);
+        if (!entry_error) out.push_back({entry.path().filename().string(), static_cast<std::uint64_t>(size)});
     }
-    std::sort(out.begin(), out.end(), [](const Kept& a, const Kept& b) { return a.name < b.name; });
+    std::sort(out.begin(), out.end(), [](const FileEntry& a, const FileEntry& b) { return a.name < b.name; });
     return out;
 }
 
@@ -75,6 +75,8 @@
     return false;
 }
 
-std::unique_ptr<Out> standard_output() { return std::make_unique<FileOut>(STDOUT_FILENO, false); }
+std::unique_ptr<OutputFile> standard_output() {
+    return std::make_unique<PosixOutputFile>(STDOUT_FILENO, false);
+}
 
 }  // namespace copperfront::trace
--- a/src/trace/disk.h
+++ b/src/trace/disk.h
@@ -1,4 +1,4 @@
-// Files as a trace is written to them, so that a disk that fails can be played.
+// Interface to the file system as the trace writer uses it, so that tests can simulate a failing disk.
 #pragma once
 
 #include <cstdint>
@@ -9,38 +9,39 @@
 
 namespace copperfront::trace {
 
-class Out {
+class OutputFile {
   public:
-    virtual ~Out() = default;
-    // False: not all of it is there, and `why` tells; `truncate` may still take the rest away.
+    virtual ~OutputFile() = default;
+    // Returns false if not all bytes were written, with the reason in `why`; `truncate` may still remove the
+    // partial write.
     virtual bool append(std::string_view bytes, std::string& why) = 0;
     virtual bool truncate(std::uint64_t size, std::string& why) = 0;
-    // What was appended outlives a loss of power from here on.
+    // What was appended so far survives a loss of power once this returns true.
     virtual bool sync(std::string& why) = 0;
 };
 
 class Disk {
   public:
-    struct Kept {
+    struct FileEntry {
         std::string name;  // without its folder
         std::uint64_t bytes = 0;
     };
     virtual ~Disk() = default;
-    // Null: it cannot be created, or is there already.
-    virtual std::unique_ptr<Out> create(const std::string& path, std::string& why) = 0;
-    // Of a folder, by name; empty where it cannot be read.
-    virtual std::vector<Kept> list(const std::string& folder) = 0;
+    // Returns null if the file cannot be created or already exists.
+    virtual std::unique_ptr<OutputFile> create(const std::string& path, std::string& why) = 0;
+    // Returns the files of a folder, sorted by name; empty if it cannot be read.
+    virtual std::vector<FileEntry> list(const std::string& folder) = 0;
     virtual bool remove(const std::string& path, std::string& why) = 0;
 };
 
-// The machine's own.
+// The file system of this machine.
 class RealDisk : public Disk {
   public:
-    std::unique_ptr<Out> create(const std::string& path, std::string& why) override;
-    std::vector<Kept> list(const std::string& folder) override;
+    std::unique_ptr<OutputFile> create(const std::string& path, std::string& why) override;
+    std::vector<FileEntry> list(const std::string& folder) override;
     bool remove(const std::string& path, std::string& why) override;
 };
 // Standard output; it cannot be truncated.
-std::unique_ptr<Out> standard_output();
+std::unique_ptr<OutputFile> standard_output();
 
 }  // namespace copperfront::trace
--- a/src/trace/file.h
+++ b/src/trace/file.h
@@ -1,6 +1,6 @@
-// A trace file as a reader has it. One that was closed is read by its footer; one that was cut off, is
-// damaged or is still being written is read block by block, and what could not be read is told. Nothing is
-// ever read from bytes whose sum is wrong.
+// Reads trace files. A closed file is read by the index in its footer; one that is truncated, damaged or
+// still being written is scanned block by block, and the ranges that could not be read are reported.
+// Bytes whose checksum is wrong are never interpreted.
 #pragma once
 
 #include <memory>
@@ -13,13 +13,14 @@
 
 namespace copperfront::trace {
 
-// Where bytes come from.
+// A random-access source of bytes.
 class Source {
   public:
     virtual ~Source() = default;
     virtual std::uint64_t size() const = 0;
-    // Fewer where the source ends; an error of the device counts as its end, and `trouble` tells it.
-    virtual std::string read(std::uint64_t offset, std::size_t count, std::string& trouble) const = 0;
+    // Returns fewer bytes at the end of the source. An I/O error counts as its end and is reported in
+    // `io_error`.
+    virtual std::string read(std::uint64_t offset, std::size_t count, std::string& io_error) const = 0;
 };
 
 class TextSource : public Source {
@@ -34,23 +35,24 @@
     std::string text_;
 };
 
-// A file; "-": all of standard input, kept in a file without a name meanwhile. Null: `why`.
+// Opens a file; "-" spools all of standard input to an unnamed temporary file. Returns null on failure, with
+// the reason in `why`.
 std::unique_ptr<Source> open_source(const std::string& path, std::string& why);
 
-// A stretch of bytes that holds no whole block.
-struct Torn {
+// A range of bytes that holds no intact block.
+struct DamagedRange {
     std::uint64_t offset = 0, bytes = 0;
-    std::uint32_t rows = 0;  // that it held at most, by a head that may be damaged itself; 0: not known
-    std::string what;
+    std::uint32_t rows = 0;  // upper bound, from a block header that may be damaged itself; 0: unknown
+    std::string reason;
 };
 
 class TraceFile {
   public:
-    // Null: it is no trace at all, or of a version that is not known; `why` tells which. Anything that
-    // follows a whole header is a trace, if of no blocks.
+    // Returns null if the source is not a trace or is of an unknown version, with the reason in `why`.
+    // Anything that follows an intact header counts as a trace, possibly without blocks.
     static std::unique_ptr<TraceFile> open(std::shared_ptr<const Source> source, std::string name,
                                            std::string& why);
-    // Without a look at its footer: what `verify` and a damaged index need.
+    // Ignores the footer and scans for blocks; used by `verify` and for a damaged index.
     static std::unique_ptr<TraceFile> scan(std::shared_ptr<const Source> source, std::string name,
                                            std::string& why);
 
@@ -58,29 +60,29 @@
     const Header& header() const { return header_; }
     const Index& index() const { return index_; }
     bool closed() const { return closed_; }  // it has a footer
-    const std::vector<Torn>& torn() const { return torn_; }
+    const std::vector<DamagedRange>& damaged_ranges() const { return damaged_ranges_; }
     std::uint64_t size() const { return source_->size(); }
     std::uint64_t rows(Table table) const;
-    // Where whole blocks end: a file that is mended is cut here.
+    // Offset at which intact blocks end; a file that is repaired is cut off here.
     std::uint64_t end_of_blocks() const { return end_of_blocks_; }
 
-    // False: the block has been damaged since the file was opened, or its footer lies; `why` tells. The batch
-    // is empty then.
+    // Returns false, with the reason in `why` and an empty batch, if the block was damaged after the file was
+    // opened or the footer describes it wrongly.
     bool read(const BlockInfo& block, Pool& pool, Batch& batch, std::string& why) const;
-    // The bytes of a block, as they stand.
+    // Returns the stored bytes of a block.
     std::string bytes(const BlockInfo& block, std::string& why) const;
 
-    // Places in index().blocks.
+    // Indices into index().blocks.
     std::vector<std::uint32_t> blocks_between(std::int64_t first, std::int64_t last) const;
-    std::vector<std::uint32_t> blocks_of_query(const std::string& origin, std::int64_t query) const;
+    std::vector<std::uint32_t> blocks_of_request(const std::string& origin, std::int64_t request) const;
     std::vector<std::uint32_t> blocks_of_server(const std::string& server) const;
 
   private:
-    static std::unique_ptr<TraceFile> begin(std::shared_ptr<const Source> source, std::string name,
-                                            std::string& why);
+    static std::unique_ptr<TraceFile> read_header(std::shared_ptr<const Source> source, std::string name,
+                                                  std::string& why);
     bool read_footer();
-    void find_blocks();
-    void build();
+    void scan_blocks();
+    void build_lookups();
 
     std::shared_ptr<const Source> source_;
     std::string name_;
@@ -88,10 +90,10 @@
     std::size_t header_size_ = 0;
     Index index_;
     RangeIndex by_time_;
-    std::vector<RangeIndex> by_query_;  // by place of the origin
+    std::vector<RangeIndex> by_request_;  // by index of the origin
     std::vector<std::vector<std::uint32_t>> by_server_;
     bool closed_ = false;
-    std::vector<Torn> torn_;
+    std::vector<DamagedRange> damaged_ranges_;
     std::uint64_t end_of_blocks_ = 0;
 };
 
--- a/src/trace/format.cpp
+++ b/src/trace/format.cpp
@@ -11,86 +11,86 @@
 namespace copperfront::trace {
 namespace {
 
-// Of a head and of what follows it.
-std::uint64_t sum_of(std::string_view a, std::string_view b) {
+// Checksum of a header and of the bytes that follow it.
+std::uint64_t checksum_of(std::string_view a, std::string_view b) {
     return XXH3_64bits_withSeed(b.data(), b.size(), XXH3_64bits(a.data(), a.size()));
 }
 
-std::string packed(const std::string& raw, int level) {
+std::string compress(const std::string& raw, int level) {
     std::string out(ZSTD_compressBound(raw.size()), '\0');
     const std::size_t n = ZSTD_compress(out.data(), out.size(), raw.data(), raw.size(), level);
     out.resize(ZSTD_isError(n) ? 0 : n);
     return out;
 }
 
-bool unpacked(std::string_view stored, std::uint32_t raw, std::string& out) {
-    if (raw > kMostRaw) return false;
+bool decompress(std::string_view stored, std::uint32_t raw, std::string& out) {
+    if (raw > kMaxUncompressedBytes) return false;
     out.resize(raw);
     return ZSTD_decompress(out.data(), out.size(), stored.data(), stored.size()) == raw;
 }
 
 // ---- one column
 
-enum : std::uint8_t { kSame = 0, kPlain = 1, kDictionary = 2 };
+enum : std::uint8_t { kConstant = 0, kPlain = 1, kDictionary = 2 };
 
-void put_numbers(Bytes& to, const std::vector<std::int64_t>& values, bool delta) {
-    const bool same = !values.empty() && std::all_of(values.begin(), values.end(),
-                                                     [&](std::int64_t v) { return v == values.front(); });
-    to.fixed<std::uint8_t>(same ? kSame : kPlain);
-    if (same) return to.number(values.front());
-    std::uint64_t before = 0;
+void put_numbers(ByteWriter& to, const std::vector<std::int64_t>& values, bool delta) {
+    const bool constant = !values.empty() && std::all_of(values.begin(), values.end(),
+                                                         [&](std::int64_t v) { return v == values.front(); });
+    to.fixed<std::uint8_t>(constant ? kConstant : kPlain);
+    if (constant) return to.number(values.front());
+    std::uint64_t previous = 0;
     for (const std::int64_t v : values) {
-        // Differences wrap: a clock that jumps by anything must come back as it was.
-        to.number(static_cast<std::int64_t>(static_cast<std::uint64_t>(v) - before));
-        if (delta) before = static_cast<std::uint64_t>(v);
+        // Differences wrap around, so that a clock that jumps by any amount is stored without loss.
+        to.number(static_cast<std::int64_t>(static_cast<std::uint64_t>(v) - previous));
+        if (delta) previous = static_cast<std::uint64_t>(v);
     }
 }
 
-bool get_numbers(Cursor& from, std::size_t count, bool delta, std::vector<std::int64_t>& values) {
-    const auto how = from.fixed<std::uint8_t>();
-    if (how == kSame) {
+bool get_numbers(ByteReader& from, std::size_t count, bool delta, std::vector<std::int64_t>& values) {
+    const auto layout = from.fixed<std::uint8_t>();
+    if (layout == kConstant) {
         values.assign(count, from.number());
-        return from.well();
+        return from.ok();
     }
-    if (how != kPlain || from.left() < count) return false;
+    if (layout != kPlain || from.remaining() < count) return false;
     values.reserve(count);
-    std::uint64_t before = 0;
+    std::uint64_t previous = 0;
     for (std::size_t n = 0; n < count; ++n) {
-        const std::uint64_t v = before + static_cast<std::uint64_t>(from.number());
+        const std::uint64_t v = previous + static_cast<std::uint64_t>(from.number());
         values.push_back(static_cast<std::int64_t>(v));
-        if (delta) before = v;
+        if (delta) previous = v;
     }
-    return from.well();
+    return from.ok();
 }
 
-void put_codes(Bytes& to, const std::vector<std::uint64_t>& codes, std::size_t distinct) {
+void put_codes(ByteWriter& to, const std::vector<std::uint64_t>& codes, std::size_t distinct) {
     if (distinct <= 1) return;
     for (const std::uint64_t c : codes) to.varint(c);
 }
 
-bool get_codes(Cursor& from, std::size_t count, const std::vector<std::int64_t>& meaning,
+bool get_codes(ByteReader& from, std::size_t count, const std::vector<std::int64_t>& dictionary,
                std::vector<std::int64_t>& values) {
-    if (count > 0 && meaning.empty()) return false;
-    if (meaning.size() <= 1) {
-        if (count > 0) values.assign(count, meaning.front());
+    if (count > 0 && dictionary.empty()) return false;
+    if (dictionary.size() <= 1) {
+        if (count > 0) values.assign(count, dictionary.front());
         return true;
     }
-    if (from.left() < count) return false;
+    if (from.remaining() < count) return false;
     values.reserve(count);
     for (std::size_t n = 0; n < count; ++n) {
         const std::uint64_t code = from.varint();
-        if (code >= meaning.size()) return false;
-        values.push_back(meaning[static_cast<std::size_t>(code)]);
+        if (code >= dictionary.size()) return false;
+        values.push_back(dictionary[static_cast<std::size_t>(code)]);
     }
-    return from.well();
+    return from.ok();
 }
 
-// Distinct values in the order in which they come: names and sessions of a block repeat, and its dictionary
-// goes with it, so that a block can be read whatever became of the rest of its file.
-struct Distinct {
+// Distinct values in order of first appearance. Names and sessions repeat within a block, and each
+// block carries its own dictionary, so that it can be read even if the rest of the file is lost.
+struct DistinctValues {
     std::vector<std::int64_t> values;
     std::vector<std::uint64_t> codes;
-    explicit Distinct(const std::vector<std::int64_t>& all) {
+    explicit DistinctValues(const std::vector<std::int64_t>& all) {
         std::unordered_map<std::int64_t, std::uint64_t> seen;
         codes.reserve(all.size());
         for (const std::int64_t v : all) {
@@ -101,27 +101,27 @@
     }
 };
 
-void put_names(Bytes& to, const std::vector<std::int64_t>& values, const Pool& pool) {
-    const Distinct all(values);
+void put_names(ByteWriter& to, const std::vector<std::int64_t>& values, const Pool& pool) {
+    const DistinctValues all(values);
     to.varint(all.values.size());
     for (const std::int64_t v : all.values) to.text(pool.text(v));
     put_codes(to, all.codes, all.values.size());
 }
 
-bool get_names(Cursor& from, std::size_t count, Pool& pool, std::vector<std::int64_t>& values) {
+bool get_names(ByteReader& from, std::size_t count, Pool& pool, std::vector<std::int64_t>& values) {
     const std::uint64_t distinct = from.varint();
-    if (distinct > count || distinct > from.left()) return false;
-    std::vector<std::int64_t> meaning;
-    for (std::uint64_t n = 0; n < distinct && from.well(); ++n)
-        meaning.push_back(pool.code(std::string(from.text())));
-    return from.well() && get_codes(from, count, meaning, values);
+    if (distinct > count || distinct > from.remaining()) return false;
+    std::vector<std::int64_t> dictionary;
+    for (std::uint64_t n = 0; n < distinct && from.ok(); ++n)
+        dictionary.push_back(pool.code(std::string(from.text())));
+    return from.ok() && get_codes(from, count, dictionary, values);
 }
 
-void put_marks(Bytes& to, const std::vector<std::int64_t>& values) {
-    const Distinct all(values);
-    const bool few = all.values.size() * 2 <= values.size();
-    to.fixed<std::uint8_t>(few ? kDictionary : kPlain);
-    if (!few) {
+void put_hashes(ByteWriter& to, const std::vector<std::int64_t>& values) {
+    const DistinctValues all(values);
+    const bool use_dictionary = all.values.size() * 2 <= values.size();
+    to.fixed<std::uint8_t>(use_dictionary ? kDictionary : kPlain);
+    if (!use_dictionary) {
         for (const std::int64_t v : values) to.fixed(static_cast<std::uint64_t>(v));
         return;
     }
@@ -130,65 +130,66 @@
     put_codes(to, all.codes, all.values.size());
 }
 
-bool get_marks(Cursor& from, std::size_t count, std::vector<std::int64_t>& values) {
-    const auto how = from.fixed<std::uint8_t>();
-    const std::uint64_t distinct = how == kPlain ? count : from.varint();
-    if (how != kPlain && how != kDictionary) return false;
-    if (distinct > count || distinct * 8 > from.left()) return false;
-    std::vector<std::int64_t> meaning;
-    meaning.reserve(static_cast<std::size_t>(distinct));
+bool get_hashes(ByteReader& from, std::size_t count, std::vector<std::int64_t>& values) {
+    const auto layout = from.fixed<std::uint8_t>();
+    const std::uint64_t distinct = layout == kPlain ? count : from.varint();
+    if (layout != kPlain && layout != kDictionary) return false;
+    if (distinct > count || distinct * 8 > from.remaining()) return false;
+    std::vector<std::int64_t> dictionary;
+    dictionary.reserve(static_cast<std::size_t>(distinct));
     for (std::uint64_t n = 0; n < distinct; ++n)
-        meaning.push_back(static_cast<std::int64_t>(from.fixed<std::uint64_t>()));
-    if (how == kPlain) {
-        values = std::move(meaning);
-        return from.well();
+        dictionary.push_back(static_cast<std::int64_t>(from.fixed<std::uint64_t>()));
+    if (layout == kPlain) {
+        values = std::move(dictionary);
+        return from.ok();
     }
-    return get_codes(from, count, meaning, values);
+    return get_codes(from, count, dictionary, values);
 }
 
-void put_column(Bytes& to, const Batch& batch, std::size_t column, Store store, const Pool& pool) {
+void put_column(ByteWriter& to, const Batch& batch, std::size_t column, Encoding encoding, const Pool& pool) {
     const auto& values = batch.values(column);
-    switch (store) {
-        case Store::number:
-        case Store::delta:
-            return put_numbers(to, values, store == Store::delta);
-        case Store::name:
+    switch (encoding) {
+        case Encoding::number:
+        case Encoding::delta:
+            return put_numbers(to, values, encoding == Encoding::delta);
+        case Encoding::name:
             return put_names(to, values, pool);
-        case Store::mark:
-            return put_marks(to, values);
-        case Store::numbers:
-        case Store::names: {
-            std::uint32_t before = 0;
-            for (const std::uint32_t end : batch.ends(column)) {
-                to.varint(end - before);
-                before = end;
+        case Encoding::hash:
+            return put_hashes(to, values);
+        case Encoding::numbers:
+        case Encoding::names: {
+            std::uint32_t previous = 0;
+            for (const std::uint32_t end : batch.list_ends(column)) {
+                to.varint(end - previous);
+                previous = end;
             }
-            if (store == Store::numbers) return put_numbers(to, values, false);
+            if (encoding == Encoding::numbers) return put_numbers(to, values, false);
             return put_names(to, values, pool);
         }
     }
 }
 
-bool get_column(Cursor& from, Batch& batch, std::size_t column, Store store, std::size_t rows, Pool& pool) {
+bool get_column(ByteReader& from, Batch& batch, std::size_t column, Encoding encoding, std::size_t rows,
+                Pool& pool) {
     auto& values = batch.values(column);
-    switch (store) {
-        case Store::number:
-        case Store::delta:
-            return get_numbers(from, rows, store == Store::delta, values);
-        case Store::name:
+    switch (encoding) {
+        case Encoding::number:
+        case Encoding::delta:
+            return get_numbers(from, rows, encoding == Encoding::delta, values);
+        case Encoding::name:
             return get_names(from, rows, pool, values);
-        case Store::mark:
-            return get_marks(from, rows, values);
-        case Store::numbers:
-        case Store::names: {
+        case Encoding::hash:
+            return get_hashes(from, rows, values);
+        case Encoding::numbers:
+        case Encoding::names: {
             std::uint64_t all = 0;
             for (std::size_t n = 0; n < rows; ++n) {
                 all += from.varint();
-                if (!from.well() || all > kMostRaw / 8) return false;
-                batch.ends(column).push_back(static_cast<std::uint32_t>(all));
+                if (!from.ok() || all > kMaxUncompressedBytes / 8) return false;
+                batch.list_ends(column).push_back(static_cast<std::uint32_t>(all));
             }
             const auto count = static_cast<std::size_t>(all);
-            if (store == Store::numbers) return get_numbers(from, count, false, values);
+            if (encoding == Encoding::numbers) return get_numbers(from, count, false, values);
             return get_names(from, count, pool, values);
         }
     }
@@ -199,20 +200,20 @@
 
 // ---- header
 
-Header Header::of(std::uint32_t version, std::string origin, std::string zone, std::int64_t began) {
+Header Header::of(std::uint32_t version, std::string origin, std::string zone, std::int64_t created_at) {
     Header h;
     h.version = version;
     h.origin = std::move(origin);
     h.zone = std::move(zone);
-    h.began = began;
+    h.created_at = created_at;
     for (const Table t : kTables) {
         StoredTable table;
         table.number = static_cast<std::uint8_t>(t);
         table.known = true;
         const auto columns = columns_of(t);
         for (std::size_t c = 0; c < columns.size(); ++c)
-            if (columns[c].since <= version)
-                table.columns.push_back({columns[c].name, columns[c].store, static_cast<int>(c)});
+            if (columns[c].since_version <= version)
+                table.columns.push_back({columns[c].name, columns[c].encoding, static_cast<int>(c)});
         if (!table.columns.empty()) h.tables.push_back(std::move(table));
     }
     return h;
@@ -226,90 +227,90 @@
 
 std::string encode(const Header& header) {
     std::string body;
-    Bytes to(body);
+    ByteWriter to(body);
     to.text(header.origin);
     to.text(header.zone);
-    to.number(header.began);
+    to.number(header.created_at);
     to.varint(header.tables.size());
     for (const StoredTable& t : header.tables) {
         to.fixed(t.number);
         to.varint(t.columns.size());
         for (const StoredColumn& c : t.columns) {
-            to.fixed(static_cast<std::uint8_t>(c.store));
+            to.fixed(static_cast<std::uint8_t>(c.encoding));
             to.text(c.name);
         }
     }
     std::string out(kMagic);
-    Bytes head(out);
+    ByteWriter head(out);
     head.fixed(header.version);
     head.fixed(static_cast<std::uint32_t>(body.size()));
-    const std::uint64_t sum = sum_of(out, body);
+    const std::uint64_t checksum = checksum_of(out, body);
     out += body;
-    head.fixed(sum);
+    head.fixed(checksum);
     return out;
 }
 
 std::optional<Header> decode_header(std::string_view bytes, std::size_t& length, std::string& why) {
     if (bytes.substr(0, kMagic.size()) != kMagic.substr(0, std::min(bytes.size(), kMagic.size()))) {
-        why = "this is no trace: it does not begin as one";
+        why = "not a trace file: wrong magic number";
         return {};
     }
-    Cursor head(bytes.substr(std::min(bytes.size(), kMagic.size())));
+    ByteReader head(bytes.substr(std::min(bytes.size(), kMagic.size())));
     Header h;
     h.version = head.fixed<std::uint32_t>();
     const auto size = head.fixed<std::uint32_t>();
-    if (!head.well()) {
+    if (!head.ok()) {
         why = "the file ends within its header";
         return {};
     }
-    // The version first: a newer header may be of any shape.
-    if (h.version < kOldest || h.version > kNewest) {
+    // The version is checked first: a newer header may have any layout.
+    if (h.version < kOldestVersion || h.version > kNewest) {
         why = "its version is " + std::to_string(h.version) + "; this program reads " +
-              std::to_string(kOldest) + " to " + std::to_string(kNewest);
+              std::to_string(kOldestVersion) + " to " + std::to_string(kNewest);
         return {};
     }
-    if (size > kMostHeader) {
+    if (size > kMaxHeaderBytes) {
         why = "its header is damaged";
         return {};
     }
     const std::string_view body = head.take(size);
-    const auto sum = head.fixed<std::uint64_t>();
-    if (!head.well()) {
+    const auto checksum = head.fixed<std::uint64_t>();
+    if (!head.ok()) {
         why = "the file ends within its header";
         return {};
     }
-    if (sum != sum_of(bytes.substr(0, kMagic.size() + 8), body)) {
-        why = "its header is damaged: the sum is wrong";
+    if (checksum != checksum_of(bytes.substr(0, kMagic.size() + 8), body)) {
+        why = "its header is damaged: wrong checksum";
         return {};
     }
-    Cursor from(body);
+    ByteReader from(body);
     h.origin = from.text();
     h.zone = from.text();
-    h.began = from.number();
+    h.created_at = from.number();
     const std::uint64_t tables = from.varint();
-    for (std::uint64_t t = 0; t < tables && from.well(); ++t) {
+    for (std::uint64_t t = 0; t < tables && from.ok(); ++t) {
         StoredTable table;
         table.number = from.fixed<std::uint8_t>();
-        std::span<const Column> ours;
+        std::span<const Column> known_columns;
         for (const Table known : kTables)
             if (table.number == static_cast<std::uint8_t>(known)) {
-                ours = columns_of(known);
+                known_columns = columns_of(known);
                 table.known = true;
             }
         const std::uint64_t columns = from.varint();
-        for (std::uint64_t c = 0; c < columns && from.well(); ++c) {
+        for (std::uint64_t c = 0; c < columns && from.ok(); ++c) {
             StoredColumn column;
-            column.store = static_cast<Store>(from.fixed<std::uint8_t>());
+            column.encoding = static_cast<Encoding>(from.fixed<std::uint8_t>());
             column.name = from.text();
-            for (std::size_t o = 0; o < ours.size(); ++o)
-                if (column.name == ours[o].name && column.store == ours[o].store)
-                    column.ours = static_cast<int>(o);
+            for (std::size_t o = 0; o < known_columns.size(); ++o)
+                if (column.name == known_columns[o].name && column.encoding == known_columns[o].encoding)
+                    column.known_column = static_cast<int>(o);
             table.columns.push_back(std::move(column));
         }
         h.tables.push_back(std::move(table));
     }
-    if (!from.well() || !from.done()) {
-        why = "its header holds something else than a schema";
+    if (!from.ok() || !from.done()) {
+        why = "its header does not hold a valid schema";
         return {};
     }
     length = kMagic.size() + 8 + size + 8;
@@ -323,19 +324,19 @@
     const StoredTable* table = header.table(number);
     if (!table || batch.rows() == 0) return {};
     std::string raw;
-    Bytes to(raw);
+    ByteWriter to(raw);
     std::string one;
     for (const StoredColumn& c : table->columns) {
         one.clear();
-        Bytes column(one);
-        put_column(column, batch, static_cast<std::size_t>(c.ours), c.store, pool);
+        ByteWriter column(one);
+        put_column(column, batch, static_cast<std::size_t>(c.known_column), c.encoding, pool);
         to.text(one);
     }
-    const std::string body = packed(raw, level);
+    const std::string body = compress(raw, level);
     const auto [first, last] = std::minmax_element(batch.values(0).begin(), batch.values(0).end());
     std::string out(kBlockMark);
     out.reserve(kBlockHead + body.size());
-    Bytes head(out);
+    ByteWriter head(out);
     head.fixed(number);
     head.fixed<std::uint8_t>(1);
     head.fixed(static_cast<std::uint16_t>(table->columns.size()));
@@ -344,64 +345,68 @@
     head.fixed(*last);
     head.fixed(static_cast<std::uint32_t>(body.size()));
     head.fixed(static_cast<std::uint32_t>(raw.size()));
-    head.fixed(sum_of(out, body));
+    head.fixed(checksum_of(out, body));
     return out + body;
 }
 
-std::optional<BlockHead> decode_head(std::string_view bytes) {
+std::optional<BlockHeader> decode_block_header(std::string_view bytes) {
     if (bytes.size() < kBlockHead || bytes.substr(0, kBlockMark.size()) != kBlockMark) return {};
-    Cursor from(bytes.substr(kBlockMark.size(), kBlockHead - kBlockMark.size()));
-    BlockHead h;
+    ByteReader from(bytes.substr(kBlockMark.size(), kBlockHead - kBlockMark.size()));
+    BlockHeader h;
     h.table = from.fixed<std::uint8_t>();
-    h.packed = from.fixed<std::uint8_t>();
+    h.compression = from.fixed<std::uint8_t>();
     h.columns = from.fixed<std::uint16_t>();
     h.rows = from.fixed<std::uint32_t>();
     h.first = from.fixed<std::int64_t>();
     h.last = from.fixed<std::int64_t>();
     h.stored = from.fixed<std::uint32_t>();
     h.raw = from.fixed<std::uint32_t>();
-    h.sum = from.fixed<std::uint64_t>();
-    if (h.rows == 0 || h.rows > kMostRows || h.raw > kMostRaw || h.stored > kMostRaw) return {};
+    h.checksum = from.fixed<std::uint64_t>();
+    if (h.rows == 0 || h.rows > kMaxBlockRows || h.raw > kMaxUncompressedBytes ||
+        h.stored > kMaxUncompressedBytes)
+        return {};
     return h;
 }
 
-bool sum_is_right(std::string_view block) {
-    const auto head = decode_head(block);
+bool checksum_matches(std::string_view block) {
+    const auto head = decode_block_header(block);
     return head && block.size() == head->size() &&
-           head->sum == sum_of(block.substr(0, kBlockHead - 8), block.substr(kBlockHead));
+           head->checksum == checksum_of(block.substr(0, kBlockHead - 8), block.substr(kBlockHead));
 }
 
 bool decode(const Header& header, std::string_view bytes, Pool& pool, Batch& batch, std::string& why) {
     batch.clear();
-    const auto bad = [&](const char* what) {
+    const auto fail = [&](const char* what) {
         batch.clear();
         why = what;
         return false;
     };
-    const auto head = decode_head(bytes);
-    if (!head || bytes.size() != head->size()) return bad("not a block");
-    if (!sum_is_right(bytes)) return bad("the block is damaged: its sum is wrong");
+    const auto head = decode_block_header(bytes);
+    if (!head || bytes.size() != head->size()) return fail("not a block");
+    if (!checksum_matches(bytes)) return fail("the block is damaged: wrong checksum");
     const StoredTable* table = header.table(head->table);
     if (!table || table->columns.size() != head->columns)
-        return bad("the block is of no table of the schema");
-    if (head->table != static_cast<std::uint8_t>(batch.table())) return bad("the block is of another table");
+        return fail("the block matches no table of the schema");
+    if (head->table != static_cast<std::uint8_t>(batch.table()))
+        return fail("the block belongs to another table");
     std::string raw;
-    if (head->packed != 1 || !unpacked(bytes.substr(kBlockHead), head->raw, raw))
-        return bad("the block cannot be unpacked");
-    Cursor from(raw);
+    if (head->compression != 1 || !decompress(bytes.substr(kBlockHead), head->raw, raw))
+        return fail("the block cannot be decompressed");
+    ByteReader from(raw);
     for (const StoredColumn& c : table->columns) {
-        Cursor column(from.text());
-        if (!from.well()) return bad("the block ends within a column");
-        if (c.ours < 0) continue;
-        if (!get_column(column, batch, static_cast<std::size_t>(c.ours), c.store, head->rows, pool) ||
+        ByteReader column(from.text());
+        if (!from.ok()) return fail("the block ends within a column");
+        if (c.known_column < 0) continue;
+        if (!get_column(column, batch, static_cast<std::size_t>(c.known_column), c.encoding, head->rows,
+                        pool) ||
             !column.done())
-            return bad("a column does not hold what its schema says");
+            return fail("a column does not match the schema");
     }
-    if (!from.done()) return bad("the block holds more than its columns");
+    if (!from.done()) return fail("the block has bytes after its last column");
     const auto columns = columns_of(batch.table());
     for (std::size_t c = 0; c < columns.size(); ++c) {
-        if (is_list(columns[c].store))
-            batch.ends(c).resize(head->rows, 0);
+        if (is_list(columns[c].encoding))
+            batch.list_ends(c).resize(head->rows, 0);
         else if (batch.values(c).size() != head->rows)
             batch.values(c).resize(head->rows, 0);
     }
@@ -410,8 +415,8 @@
 
 // ---- index
 
-std::uint32_t Indexer::place(const std::string& name) {
-    const std::uint32_t at = places_.index(name);
+std::uint32_t Indexer::name_index(const std::string& name) {
+    const std::uint32_t at = name_indices_.index(name);
     if (at == index_.names.size()) index_.names.push_back(name);
     return at;
 }
@@ -434,24 +439,25 @@
             for (std::size_t n = 0; n < batch.rows(); ++n) {
                 const std::int64_t q = batch.values(c)[n];
                 if (q == 0) continue;
-                const std::uint32_t origin = place(pool.text(origins[n]));
-                auto it = std::find_if(info.queries.begin(), info.queries.end(),
-                                       [&](const QueryRange& r) { return r.origin == origin; });
-                if (it == info.queries.end()) {
-                    info.queries.push_back({origin, q, q});
+                const std::uint32_t origin = name_index(pool.text(origins[n]));
+                auto it = std::find_if(info.requests.begin(), info.requests.end(),
+                                       [&](const RequestRange& r) { return r.origin == origin; });
+                if (it == info.requests.end()) {
+                    info.requests.push_back({origin, q, q});
                 } else {
                     it->first = std::min(it->first, q);
                     it->last = std::max(it->last, q);
                 }
             }
         }
-        // Servers that were only looked at are not what one looks for under a server.
+        // Servers that were only compared are not indexed: a search by server is for requests that were sent
+        // there.
         if (name != "server" && name != "reader" && name != "writer") continue;
         std::vector<std::int64_t> codes = batch.values(c);
         std::sort(codes.begin(), codes.end());
         codes.erase(std::unique(codes.begin(), codes.end()), codes.end());
         for (const std::int64_t code : codes)
-            if (code != 0) info.servers.push_back(place(pool.text(code)));
+            if (code != 0) info.servers.push_back(name_index(pool.text(code)));
     }
     std::sort(info.servers.begin(), info.servers.end());
     info.servers.erase(std::unique(info.servers.begin(), info.servers.end()), info.servers.end());
@@ -460,7 +466,7 @@
 
 std::string encode_footer(const Index& index, std::uint64_t offset, int level) {
     std::string raw;
-    Bytes to(raw);
+    ByteWriter to(raw);
     to.varint(index.names.size());
     for (const std::string& n : index.names) to.text(n);
     to.varint(index.blocks.size());
@@ -471,8 +477,8 @@
         to.varint(b.rows);
         to.number(b.first);
         to.number(b.last);
-        to.varint(b.queries.size());
-        for (const QueryRange& r : b.queries) {
+        to.varint(b.requests.size());
+        for (const RequestRange& r : b.requests) {
             to.varint(r.origin);
             to.number(r.first);
             to.number(r.last);
@@ -480,71 +486,71 @@
         to.varint(b.servers.size());
         for (const std::uint32_t s : b.servers) to.varint(s);
     }
-    const std::string body = packed(raw, level);
+    const std::string body = compress(raw, level);
     std::string out(kFooterMark);
-    Bytes head(out);
+    ByteWriter head(out);
     head.fixed(static_cast<std::uint32_t>(body.size()));
     head.fixed(static_cast<std::uint32_t>(raw.size()));
-    head.fixed(sum_of(out, body));
+    head.fixed(checksum_of(out, body));
     out += body;
     head.fixed(offset);
-    out += kTrailerMark;
+    out += kTrailerMagic;
     return out;
 }
 
 bool decode_footer(std::string_view bytes, Index& index, std::string& why) {
     index = {};
-    const auto bad = [&](const char* what) {
+    const auto fail = [&](const char* what) {
         index = {};
         why = what;
         return false;
     };
     if (bytes.size() < kFooterHead || bytes.substr(0, kFooterMark.size()) != kFooterMark)
-        return bad("not a footer");
-    Cursor head(bytes.substr(kFooterMark.size(), kFooterHead - kFooterMark.size()));
+        return fail("not a footer");
+    ByteReader head(bytes.substr(kFooterMark.size(), kFooterHead - kFooterMark.size()));
     const auto stored = head.fixed<std::uint32_t>(), raw_size = head.fixed<std::uint32_t>();
-    const auto sum = head.fixed<std::uint64_t>();
-    if (bytes.size() < kFooterHead + stored) return bad("the file ends within its footer");
+    const auto checksum = head.fixed<std::uint64_t>();
+    if (bytes.size() < kFooterHead + stored) return fail("the file ends within its footer");
     const std::string_view body = bytes.substr(kFooterHead, stored);
     std::string raw;
-    if (sum != sum_of(bytes.substr(0, kFooterHead - 8), body) || !unpacked(body, raw_size, raw))
-        return bad("the footer is damaged");
-    Cursor from(raw);
+    if (checksum != checksum_of(bytes.substr(0, kFooterHead - 8), body) || !decompress(body, raw_size, raw))
+        return fail("the footer is damaged");
+    ByteReader from(raw);
     const std::uint64_t names = from.varint();
-    for (std::uint64_t n = 0; n < names && from.well(); ++n) index.names.emplace_back(from.text());
+    for (std::uint64_t n = 0; n < names && from.ok(); ++n) index.names.emplace_back(from.text());
     const std::uint64_t blocks = from.varint();
-    for (std::uint64_t n = 0; n < blocks && from.well(); ++n) {
+    for (std::uint64_t n = 0; n < blocks && from.ok(); ++n) {
         BlockInfo b;
         b.offset = from.varint();
         b.size = static_cast<std::uint32_t>(from.varint());
         const auto table = from.fixed<std::uint8_t>();
-        if (table < 1 || table > kTables.size()) return bad("the footer names a table that is not known");
+        if (table < 1 || table > kTables.size()) return fail("the footer names an unknown table");
         b.table = static_cast<Table>(table);
         b.rows = static_cast<std::uint32_t>(from.varint());
         b.first = from.number();
         b.last = from.number();
-        const std::uint64_t queries = from.varint();
-        for (std::uint64_t q = 0; q < queries && from.well(); ++q) {
-            QueryRange r;
+        const std::uint64_t requests = from.varint();
+        for (std::uint64_t q = 0; q < requests && from.ok(); ++q) {
+            RequestRange r;
             r.origin = static_cast<std::uint32_t>(from.varint());
             r.first = from.number();
             r.last = from.number();
-            if (r.origin >= index.names.size()) return bad("the footer is damaged");
-            b.queries.push_back(r);
+            if (r.origin >= index.names.size()) return fail("the footer is damaged");
+            b.requests.push_back(r);
         }
         const std::uint64_t servers = from.varint();
-        for (std::uint64_t s = 0; s < servers && from.well(); ++s) {
+        for (std::uint64_t s = 0; s < servers && from.ok(); ++s) {
             b.servers.push_back(static_cast<std::uint32_t>(from.varint()));
-            if (b.servers.back() >= index.names.size()) return bad("the footer is damaged");
+            if (b.servers.back() >= index.names.size()) return fail("the footer is damaged");
         }
         index.blocks.push_back(std::move(b));
     }
-    return from.well() && from.done() ? true : bad("the footer is damaged");
+    return from.ok() && from.done() ? true : fail("the footer is damaged");
 }
 
 std::optional<std::uint64_t> decode_trailer(std::string_view bytes) {
-    if (bytes.size() != kTrailer || bytes.substr(8) != kTrailerMark) return {};
-    return Cursor(bytes).fixed<std::uint64_t>();
+    if (bytes.size() != kTrailerSize || bytes.substr(8) != kTrailerMagic) return {};
+    return ByteReader(bytes).fixed<std::uint64_t>();
 }
 
 }  // namespace copperfront::trace
--- a/src/trace/json_lines.cpp
+++ b/src/trace/json_lines.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-void append_mark(std::int64_t v, std::string& out) {
+void append_hash(std::int64_t v, std::string& out) {
     char text[16];
     const auto end = std::to_chars(text, text + sizeof text, static_cast<std::uint64_t>(v), 16);
     out += '"';
@@ -16,12 +16,12 @@
     out += '"';
 }
 
-bool read_mark(const Json& v, std::int64_t& out) {
+bool read_hash(const Json& v, std::int64_t& out) {
     if (!v.is_string()) return false;
     const auto& text = v.get_ref<const std::string&>();
-    std::uint64_t mark = 0;
-    const auto end = std::from_chars(text.data(), text.data() + text.size(), mark, 16);
-    out = static_cast<std::int64_t>(mark);
+    std::uint64_t hash = 0;
+    const auto end = std::from_chars(text.data(), text.data() + text.size(), hash, 16);
+    out = static_cast<std::int64_t>(hash);
     return !text.empty() && end.ec == std::errc() && end.ptr == text.data() + text.size();
 }
 
@@ -50,23 +50,23 @@
     std::size_t list = 0;
     for (std::size_t c = 0; c < columns.size(); ++c) {
         const Column& column = columns[c];
-        const bool lists = is_list(column.store);
-        const std::vector<std::int64_t>* values = lists ? &row.lists[list++] : nullptr;
-        if (lists ? values->empty() : row[c] == 0) continue;
+        const bool is_list_column = is_list(column.encoding);
+        const std::vector<std::int64_t>* values = is_list_column ? &row.lists[list++] : nullptr;
+        if (is_list_column ? values->empty() : row[c] == 0) continue;
         out += ",\"";
         out += column.name;
         out += "\":";
-        if (lists) {
+        if (is_list_column) {
             out += '[';
             for (std::size_t n = 0; n < values->size(); ++n) {
                 if (n > 0) out += ',';
-                out += is_name(column.store) ? quoted((*values)[n]) : std::to_string((*values)[n]);
+                out += is_name(column.encoding) ? quoted((*values)[n]) : std::to_string((*values)[n]);
             }
             out += ']';
-        } else if (column.store == Store::mark) {
-            append_mark(row[c], out);
+        } else if (column.encoding == Encoding::hash) {
+            append_hash(row[c], out);
         } else {
-            out += is_name(column.store) ? quoted(row[c]) : std::to_string(row[c]);
+            out += is_name(column.encoding) ? quoted(row[c]) : std::to_string(row[c]);
         }
     }
     out += '}';
@@ -99,27 +99,27 @@
             why = key + ": no such column of " + name_of(row.table);
             return false;
         }
-        const Store store = columns[c].store;
+        const Encoding encoding = columns[c].encoding;
         const char* expected = nullptr;
-        const auto one = [&](const Json& v, std::int64_t& to) {
-            if (is_name(store)) {
+        const auto read_value = [&](const Json& v, std::int64_t& to) {
+            if (is_name(encoding)) {
                 if (!v.is_string()) return expected = "a text", false;
                 to = pool_.code(v.get_ref<const std::string&>());
                 return true;
             }
-            if (store == Store::mark)
-                return read_mark(v, to) || (expected = "a mark in hexadecimal, as a text", false);
+            if (encoding == Encoding::hash)
+                return read_hash(v, to) || (expected = "a mark in hexadecimal, as a text", false);
             return read_number(v, to) || (expected = "a whole number of 64 bits", false);
         };
-        if (!is_list(store)) {
-            one(value, row[c]);
+        if (!is_list(encoding)) {
+            read_value(value, row[c]);
         } else if (!value.is_array()) {
             expected = "a list";
         } else {
-            auto& list = row.lists[Batch::list_place(row.table, c)];
+            auto& list = row.lists[Batch::list_index(row.table, c)];
             for (const Json& v : value) {
                 list.push_back(0);
-                if (!one(v, list.back())) break;
+                if (!read_value(v, list.back())) break;
             }
         }
         if (expected) {
--- a/src/trace/json_lines.h
+++ b/src/trace/json_lines.h
@@ -1,4 +1,4 @@
-// Rows as JSON lines and back. Columns that are 0 or empty are left out, and come back as that.
+// Converts rows to JSON lines and back. Columns that are 0 or empty are omitted and read back as 0 or empty.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 class JsonLines {
   public:
     explicit JsonLines(Pool& pool) : pool_(pool) {}
-    // Without a newline.
+    // Appends the row without a newline.
     void append(const Row& row, std::string& out);
-    // False: `why` tells what is wrong and what is expected.
+    // Returns false on failure; `why` says what is wrong and what is expected.
     bool read(std::string_view line, Row& row, std::string& why);
 
   private:
     const std::string& quoted(std::int64_t code);
     Pool& pool_;
-    std::vector<std::string> quoted_;  // by code; empty: not made yet
+    std::vector<std::string> quoted_;  // by code; empty: not computed yet
 };
 
 }  // namespace copperfront::trace
--- a/src/trace/keeping.cpp
+++ b/src/trace/keeping.cpp
@@ -5,51 +5,52 @@
 namespace copperfront::trace {
 namespace {
 
-constexpr Span kFirstWait{250000}, kLongestWait{30000000};  // ours
+constexpr Span kMinRetryDelay{250000}, kMaxRetryDelay{30000000};
 
 }  // namespace
 
-// Against a gateway whose name begins another's: g1 must not let go of the files of g1-b.
-bool Keeping::is_of(const std::string& file, const std::string& gateway) {
-    const std::string head = gateway + "-", tail = ".cft";
-    if (file.size() <= head.size() + tail.size() || file.compare(0, head.size(), head) != 0 ||
-        file.compare(file.size() - tail.size(), tail.size(), tail) != 0)
+// Guards against a gateway whose name is a prefix of another: g1 must not delete the files of g1-b.
+bool StoragePolicy::belongs_to(const std::string& file, const std::string& gateway) {
+    const std::string prefix = gateway + "-", suffix = ".cft";
+    if (file.size() <= prefix.size() + suffix.size() || file.compare(0, prefix.size(), prefix) != 0 ||
+        file.compare(file.size() - suffix.size(), suffix.size(), suffix) != 0)
         return false;
-    const std::string middle = file.substr(head.size(), file.size() - head.size() - tail.size());
+    const std::string middle = file.substr(prefix.size(), file.size() - prefix.size() - suffix.size());
     const std::size_t dash = middle.find('-');
     return dash != std::string::npos && dash > 0 && middle.find_first_not_of("0123456789abcdef") == dash &&
            middle.size() >= dash + 7 && middle.find_first_not_of("0123456789", dash + 1) == std::string::npos;
 }
 
-std::vector<std::string> Keeping::let_go(const std::vector<Disk::Kept>& files,
-                                         const std::string& open) const {
-    std::uint64_t all = 0;
-    for (const Disk::Kept& f : files) all += f.bytes;
+std::vector<std::string> StoragePolicy::files_to_delete(const std::vector<Disk::FileEntry>& files,
+                                                        const std::string& open) const {
+    std::uint64_t total_bytes = 0;
+    for (const Disk::FileEntry& f : files) total_bytes += f.bytes;
     std::vector<std::string> out;
-    // Room for the file that is being written to grow into, or the budget would be passed before its end.
-    const std::uint64_t room =
+    // Leaves room for the file that is being written to grow; otherwise the budget would be exceeded before
+    // it is closed.
+    const std::uint64_t budget =
         terms_.folder_bytes > terms_.file_bytes ? terms_.folder_bytes - terms_.file_bytes : 0;
-    for (const Disk::Kept& f : files) {
-        if (all <= room) break;
+    for (const Disk::FileEntry& f : files) {
+        if (total_bytes <= budget) break;
         if (f.name == open) continue;
         out.push_back(f.name);
-        all -= f.bytes;
+        total_bytes -= f.bytes;
     }
     return out;
 }
 
-bool Keeping::failed(Instant now) {
-    Span wait = kFirstWait;
-    for (std::uint32_t n = 0; n < failures_ && wait < kLongestWait; ++n) wait = wait * 2;
+bool StoragePolicy::record_failure(Instant now) {
+    Span delay = kMinRetryDelay;
+    for (std::uint32_t n = 0; n < failures_ && delay < kMaxRetryDelay; ++n) delay = delay * 2;
     failed_at_ = now;
-    again_ = now + std::min(wait, kLongestWait);
+    retry_at_ = now + std::min(delay, kMaxRetryDelay);
     return failures_++ == 0;
 }
 
-bool Keeping::went_well() {
-    const bool had = failures_ > 0;
+bool StoragePolicy::record_success() {
+    const bool had_failed = failures_ > 0;
     failures_ = 0;
-    return had;
+    return had_failed;
 }
 
 }  // namespace copperfront::trace
--- a/src/trace/order.h
+++ b/src/trace/order.h
@@ -1,5 +1,5 @@
-// Rows of files in the order of time, in memory that is bounded by how far blocks overlap, not by how long
-// the files are.
+// Reads rows of files in order of time. Memory is bounded by how far blocks overlap, not by the length of the
+// files.
 #pragma once
 
 #include <functional>
@@ -12,32 +12,33 @@
 
 namespace copperfront::trace {
 
-// Which rows are wanted. Empty texts: any.
+// Selects rows. Empty strings match any value.
 struct Wanted {
-    std::int64_t from = INT64_MIN, until = INT64_MAX;  // us since 1970, both included
+    std::int64_t from = INT64_MIN, until = INT64_MAX;  // us since 1970, both inclusive
     std::string route, group, server, origin;
-    // Of route and group only queries tell; what else belongs to those queries is told by a look at them
-    // first, which `cut` does. Of rows without the column, none fits.
-    bool fits(const Row& row, const Pool& pool) const;
-    bool by_query() const { return !route.empty() || !group.empty(); }
+    // Only rows of the table of requests have route and group; `cut` finds the matching requests first and
+    // then selects all rows that belong to them. Here, rows without the column do not match.
+    bool matches(const Row& row, const Pool& pool) const;
+    bool selects_by_request() const { return !route.empty() || !group.empty(); }
 };
 
-// One file's rows by time; rows of one time in the order of the file, queries after their decisions.
-class TimeOrder {
+// Reads one file's rows by time; rows of equal time come in file order, with requests after their decisions.
+class TimeOrderedReader {
   public:
-    // `offset` is added to every time: what the clock of this file's gateway was behind by, in us.
-    TimeOrder(const TraceFile& file, Pool& pool, std::int64_t offset = 0, std::int64_t from = INT64_MIN,
-              std::int64_t until = INT64_MAX);
-    // False: there are no more. Blocks that cannot be read are told in `troubles` and passed over.
+    // `offset` is added to every time, in us: by how much the clock of this file's gateway was behind.
+    TimeOrderedReader(const TraceFile& file, Pool& pool, std::int64_t offset = 0,
+                      std::int64_t from = INT64_MIN, std::int64_t until = INT64_MAX);
+    // Returns false if there are no more rows. Blocks that cannot be read are reported in `troubles` and
+    // skipped.
     bool next(Row& row);
     const std::vector<std::string>& troubles() const { return troubles_; }
-    std::size_t blocks_held() const { return held_.size(); }
+    std::size_t loaded_blocks() const { return next_rows_.size(); }
 
   private:
-    struct Held {
+    struct LoadedBlock {
         Batch batch;
         std::vector<std::uint32_t> order;
-        std::size_t at = 0;
+        std::size_t next_row = 0;
         std::uint32_t block;
     };
     struct Later {
@@ -53,15 +54,15 @@
     std::int64_t offset_, from_, until_;
     std::vector<std::uint32_t> blocks_;  // by their first time
     std::size_t next_block_ = 0;
-    std::vector<std::unique_ptr<Held>> slots_;
-    std::vector<std::uint32_t> free_;
+    std::vector<std::unique_ptr<LoadedBlock>> slots_;
+    std::vector<std::uint32_t> free_slots_;
     std::priority_queue<std::pair<std::int64_t, std::uint32_t>,
                         std::vector<std::pair<std::int64_t, std::uint32_t>>, Later>
-        held_;  // next time, slot
+        next_rows_;  // time of the next row, slot
     std::vector<std::string> troubles_;
 };
 
-// Many files by time, with what stands in several of them once.
+// Merges many files by time; a row that several files hold is returned once.
 class Merger {
   public:
     struct Input {
@@ -73,22 +74,22 @@
     bool next(Row& row);
     std::uint64_t duplicates() const { return duplicates_; }
     std::vector<std::string> troubles() const;
-    std::size_t blocks_held() const;
+    std::size_t loaded_blocks() const;
 
   private:
-    struct Head {
+    struct InputRow {
         Row row;
-        bool there = false;
+        bool has_row = false;
     };
-    std::vector<std::unique_ptr<TimeOrder>> orders_;
-    std::vector<Head> heads_;
-    // Rows of the present time: how often each was given out, and how often each file has had it.
-    struct Same {
+    std::vector<std::unique_ptr<TimeOrderedReader>> readers_;
+    std::vector<InputRow> input_rows_;
+    // Rows of the current time: how often each was returned, and how often each file contained it.
+    struct EqualRows {
         Row row;
-        std::uint32_t given = 0;
-        std::vector<std::uint32_t> by_file;
+        std::uint32_t returned = 0;
+        std::vector<std::uint32_t> seen_in_file;
     };
-    std::vector<Same> same_time_;
+    std::vector<EqualRows> same_time_rows_;
     std::uint64_t duplicates_ = 0;
 };
 
--- a/src/trace/range_index.h
+++ b/src/trace/range_index.h
@@ -1,6 +1,7 @@
-// Which blocks may hold something between two values: blocks have ranges that overlap a little, as clocks of
-// rows do. Sorted by their beginnings with the greatest end so far, so that a look-up is a binary search and
-// a walk over what overlaps, not over all. Against a look at every block: docs/traces.md. Free of I/O.
+// Interval index: finds the blocks that may contain a value in a range. The ranges of blocks overlap a
+// little, as the clocks of rows do. They are sorted by their start and augmented with the maximum end so far,
+// so that a look-up is a binary search and a walk over the overlapping ranges rather than over all. A
+// comparison with scanning every block is in docs/traces.md. Free of I/O.
 #pragma once
 
 #include <algorithm>
@@ -14,33 +15,34 @@
     void add(std::int64_t first, std::int64_t last, std::uint32_t block) {
         ranges_.push_back({first, last, last, block});
     }
-    // Once, after the last add.
+    // To be called once, after the last add.
     void build() {
         std::stable_sort(ranges_.begin(), ranges_.end(),
                          [](const Range& a, const Range& b) { return a.first < b.first; });
-        std::int64_t most = INT64_MIN;
-        for (Range& r : ranges_) r.most = most = std::max(most, r.last);
+        std::int64_t max_last = INT64_MIN;
+        for (Range& r : ranges_) r.max_last = max_last = std::max(max_last, r.last);
     }
-    // Calls `found(block)` for each whose range meets [first, last], by its beginning.
-    template <class Found>
-    void find(std::int64_t first, std::int64_t last, Found found) const {
-        // `most` only grows, so what ends too early all lies before this place.
+    // Calls `callback(block)` for each block whose range intersects [first, last], in order of the start of
+    // the ranges.
+    template <class Callback>
+    void find(std::int64_t first, std::int64_t last, Callback callback) const {
+        // `max_last` never decreases, so all ranges that end too early lie before this position.
         auto it = std::partition_point(ranges_.begin(), ranges_.end(),
-                                       [&](const Range& r) { return r.most < first; });
+                                       [&](const Range& r) { return r.max_last < first; });
         for (; it != ranges_.end() && it->first <= last; ++it)
-            if (it->last >= first) found(it->block);
+            if (it->last >= first) callback(it->block);
     }
-    // The same by looking at every range: what it is measured and tested against.
-    template <class Found>
-    void scan(std::int64_t first, std::int64_t last, Found found) const {
+    // The same by a linear scan over all ranges: the reference for tests and benchmarks.
+    template <class Callback>
+    void scan(std::int64_t first, std::int64_t last, Callback callback) const {
         for (const Range& r : ranges_)
-            if (r.first <= last && r.last >= first) found(r.block);
+            if (r.first <= last && r.last >= first) callback(r.block);
     }
     std::size_t size() const { return ranges_.size(); }
 
   private:
     struct Range {
-        std::int64_t first, last, most;
+        std::int64_t first, last, max_last;
         std::uint32_t block;
     };
     std::vector<Range> ranges_;
--- a/src/trace/rows.h
+++ b/src/trace/rows.h
@@ -1,6 +1,6 @@
-// What a trace holds: rows of three tables, kept column by column. The tables' columns are data, so that the
-// codec, the tools and the specification (docs/trace-format.md) all speak of the same ones. Free of I/O and
-// clocks.
+// Data model of a trace: rows of three tables, stored column by column. The columns of the tables are
+// described as data, so that the codec, the tools and the specification (docs/trace-format.md) share one
+// definition. Free of I/O and clocks.
 #pragma once
 
 #include <array>
@@ -13,34 +13,37 @@
 
 namespace copperfront::trace {
 
-constexpr std::uint32_t kOldest = 1, kNewest = 2;  // versions of the format that are written and read
+constexpr std::uint32_t kOldestVersion = 1,
+                        kNewest = 2;  // oldest and newest version of the format that is written and read
 
 enum class Table : std::uint8_t { queries = 1, decisions = 2, events = 3 };
 inline constexpr std::array kTables{Table::queries, Table::decisions, Table::events};
 
-// How a column's values are stored, and so what they are.
-enum class Store : std::uint8_t {
+// Encoding of a column's values, which also determines their type.
+enum class Encoding : std::uint8_t {
     number = 1,   // signed
-    delta = 2,    // signed, near the one in the row before
-    name = 3,     // text, out of few
-    mark = 4,     // 64 bits that mean nothing but equality; 0: none
+    delta = 2,    // signed, close to the value in the previous row
+    name = 3,     // text with few distinct values
+    hash = 4,     // 64-bit hash without further meaning, for equality only; 0: none
     numbers = 5,  // a list of signed numbers
     names = 6     // a list of texts
 };
-constexpr bool is_list(Store s) { return s == Store::numbers || s == Store::names; }
-constexpr bool is_name(Store s) { return s == Store::name || s == Store::names; }
+constexpr bool is_list(Encoding s) { return s == Encoding::numbers || s == Encoding::names; }
+constexpr bool is_name(Encoding s) { return s == Encoding::name || s == Encoding::names; }
 
 struct Column {
     const char* name;
-    Store store;
-    std::uint32_t since;  // the version that brought it
-    const char* meaning;  // with its unit
+    Encoding encoding;
+    std::uint32_t since_version;  // version of the format that introduced it
+    const char* description;      // with its unit
 };
-// Column 0 of every table is its time and column 1 its origin: a gateway's name and life, as "g1.18f3a".
+// Column 0 of every table is its time, column 1 its origin: the name and life of a gateway, such as
+// "g1.18f3a".
 std::span<const Column> columns_of(Table table);
 const char* name_of(Table table);
 
-// One query, at its end. What is not known is 0; times are in us, since 1970 where they are points in time.
+// One request, recorded at its end. Unknown values are 0; times are in us, since 1970 if they are points in
+// time.
 namespace query_column {
 enum : std::size_t {
     at,
@@ -73,7 +76,7 @@
 enum class Fate : std::uint8_t { settled, declined, given_up, left, over_limit };
 const char* text_of(Fate fate);
 
-// One decision, or what became of one.
+// One decision about a request, or its result.
 namespace decision_column {
 enum : std::size_t { at, origin, query, what, server, attempt, why, ending, took, limit, seen, loads, of };
 }
@@ -93,7 +96,7 @@
 };
 const char* text_of(Deed deed);
 
-// What concerns no query.
+// Events that concern no single request.
 namespace event_column {
 enum : std::size_t { at, origin, what, server, text, number };
 }
@@ -110,13 +113,13 @@
 };
 const char* text_of(Happening what);
 
-constexpr std::size_t kMostColumns = 25;
+constexpr std::size_t kMaxColumns = 25;
 
-// One row on its way between tables. Names are codes of the pool that goes with it.
+// One row in transit between tables. Names are codes of the pool that goes with it.
 struct Row {
     Table table = Table::queries;
-    std::array<std::int64_t, kMostColumns> values{};
-    // Of list columns, in their order.
+    std::array<std::int64_t, kMaxColumns> values{};
+    // Values of the list columns, in column order.
     std::array<std::vector<std::int64_t>, 2> lists;
 
     explicit Row(Table t = Table::queries) : table(t) {}
@@ -126,19 +129,19 @@
     bool operator==(const Row&) const = default;
 };
 
-// Differences and sums of what a foreign file may say: they wrap in place of being undefined.
-inline std::int64_t minus(std::int64_t a, std::int64_t b) {
+// Difference and sum of values from untrusted files: they wrap around instead of being undefined.
+inline std::int64_t wrapping_subtract(std::int64_t a, std::int64_t b) {
     return static_cast<std::int64_t>(static_cast<std::uint64_t>(a) - static_cast<std::uint64_t>(b));
 }
-inline std::int64_t plus(std::int64_t a, std::int64_t b) {
+inline std::int64_t wrapping_add(std::int64_t a, std::int64_t b) {
     return static_cast<std::int64_t>(static_cast<std::uint64_t>(a) + static_cast<std::uint64_t>(b));
 }
-// When a query came, of its row.
-inline std::int64_t came_of(const Row& query) {
-    return minus(query[query_column::at], query[query_column::took]);
+// Arrival time of a request, from its row.
+inline std::int64_t arrival_time(const Row& query) {
+    return wrapping_subtract(query[query_column::at], query[query_column::took]);
 }
 
-// Texts by number; 0 is no text.
+// Interned texts, by code; code 0 is the empty text.
 class Pool {
   public:
     Pool() { names_.index(""); }
@@ -150,7 +153,7 @@
     Names names_;
 };
 
-// Rows of one table, column by column.
+// Rows of one table, stored column by column.
 class Batch {
   public:
     explicit Batch(Table table);
@@ -162,19 +165,19 @@
     std::int64_t value(std::size_t n, std::size_t column) const { return values_[column][n]; }
     void clear();
 
-    // For the codec. Of a list column, `values` holds all lists after one another and `ends` where each ends.
+    // For the codec. In a list column, `values` holds the concatenated lists and `list_ends` the end of each.
     std::vector<std::int64_t>& values(std::size_t column) { return values_[column]; }
     const std::vector<std::int64_t>& values(std::size_t column) const { return values_[column]; }
-    std::vector<std::uint32_t>& ends(std::size_t column) { return ends_[column]; }
-    const std::vector<std::uint32_t>& ends(std::size_t column) const { return ends_[column]; }
-    // Where in a row's `lists` a column's list is.
-    static std::size_t list_place(Table table, std::size_t column);
+    std::vector<std::uint32_t>& list_ends(std::size_t column) { return list_ends_[column]; }
+    const std::vector<std::uint32_t>& list_ends(std::size_t column) const { return list_ends_[column]; }
+    // Index into a row's `lists` of a list column.
+    static std::size_t list_index(Table table, std::size_t column);
 
   private:
     Table table_;
     std::span<const Column> columns_;
     std::vector<std::vector<std::int64_t>> values_;
-    std::vector<std::vector<std::uint32_t>> ends_;
+    std::vector<std::vector<std::uint32_t>> list_ends_;
 };
 
 }  // namespace copperfront::trace
--- a/src/trace/story.cpp
+++ b/src/trace/story.cpp
@@ -16,76 +16,77 @@
     return text;
 }
 
-constexpr const char* kEndings[] = {"settled", "error",     "full",   "late", "unreachable",
-                                    "broken",  "retracted", "unsent", "read"};
+constexpr const char* kEndingTexts[] = {"settled", "error",     "full",   "late", "unreachable",
+                                        "broken",  "retracted", "unsent", "read"};
 
 std::string ending_text(std::int64_t n) {
-    return n >= 0 && n < static_cast<std::int64_t>(std::size(kEndings)) ? kEndings[n]
-                                                                        : "ended " + std::to_string(n);
+    return n >= 0 && n < static_cast<std::int64_t>(std::size(kEndingTexts)) ? kEndingTexts[n]
+                                                                            : "ended " + std::to_string(n);
 }
 
 std::string with_reason(const std::string& what, const std::string& why) {
     return why.empty() ? what : what + ": " + why;
 }
 
-std::string comparison(const Row& d, const Pool& pool, bool reading) {
+std::string describe_candidates(const Row& d, const Pool& pool, bool is_prefill) {
     using namespace decision_column;
     const auto& servers = d.lists[0];
-    const auto& shown = d.lists[1];
+    const auto& load_values = d.lists[1];
     if (servers.empty()) return {};
     std::string out = "; of " + std::to_string(d[of]) + " that could be taken";
     for (std::size_t n = 0; n < servers.size(); ++n) {
         out += n == 0 ? ": " : ", ";
         out += pool.text(servers[n]);
-        if (n < shown.size())
-            out += " " + (reading        ? std::to_string(shown[n]) + " tokens queued"
-                          : shown[n] > 0 ? std::to_string(shown[n]) + " tokens of room"
-                                         : std::to_string(minus(0, shown[n])) + " tokens of ours");
+        if (n < load_values.size())
+            out += " " + (is_prefill ? std::to_string(load_values[n]) + " tokens queued"
+                          : load_values[n] > 0
+                              ? std::to_string(load_values[n]) + " tokens of room"
+                              : std::to_string(wrapping_subtract(0, load_values[n])) + " tokens of ours");
     }
     if (d[of] > static_cast<std::int64_t>(servers.size())) out += ", ...";
     return out;
 }
 
-std::string of_decision(const Row& d, const Pool& pool) {
+std::string describe_decision(const Row& d, const Pool& pool) {
     using namespace decision_column;
-    const std::string& at_server = pool.text(d[server]);
+    const std::string& server_name = pool.text(d[server]);
     const std::string& reason = pool.text(d[why]);
-    const auto deed = static_cast<Deed>(d[what]);
-    switch (deed) {
+    const auto decision_kind = static_cast<Deed>(d[what]);
+    switch (decision_kind) {
         case Deed::held:
             return with_reason("held", reason);
         case Deed::read:
         case Deed::write: {
-            const bool reading = deed == Deed::read;
-            return with_reason(std::string(reading ? "read" : "write") + " at " + at_server + ", launch " +
-                                   std::to_string(d[attempt]) + ", given " + ms(d[limit]),
+            const bool is_prefill = decision_kind == Deed::read;
+            return with_reason(std::string(is_prefill ? "read" : "write") + " at " + server_name +
+                                   ", launch " + std::to_string(d[attempt]) + ", given " + ms(d[limit]),
                                reason) +
-                   comparison(d, pool, reading);
+                   describe_candidates(d, pool, is_prefill);
         }
         case Deed::over:
-            return with_reason("launch " + std::to_string(d[attempt]) + " at " + at_server +
+            return with_reason("launch " + std::to_string(d[attempt]) + " at " + server_name +
                                    " is over after " + ms(d[took]) + ", " + ending_text(d[ending]),
                                reason);
         case Deed::first_token:
-            return "first token from " + at_server + ", " + ms(d[took]) + " after launch " +
+            return "first token from " + server_name + ", " + ms(d[took]) + " after launch " +
                    std::to_string(d[attempt]);
         case Deed::copy:
             return with_reason("a second copy goes out", reason);
         case Deed::called_off:
-            return with_reason("launch " + std::to_string(d[attempt]) + " at " + at_server + " is called off",
-                               reason);
+            return with_reason(
+                "launch " + std::to_string(d[attempt]) + " at " + server_name + " is called off", reason);
         case Deed::released:
-            return "what launch " + std::to_string(d[attempt]) + " left at " + at_server + " is let go";
+            return "what launch " + std::to_string(d[attempt]) + " left at " + server_name + " is let go";
         case Deed::declined:
         case Deed::given_up:
         case Deed::limited:
         case Deed::settled:
-            return with_reason(text_of(deed), reason);
+            return with_reason(text_of(decision_kind), reason);
     }
     return "deed " + std::to_string(d[what]) + " of a later version";
 }
 
-std::string of_event(const Row& e, const Pool& pool) {
+std::string describe_event(const Row& e, const Pool& pool) {
     using namespace event_column;
     std::string out = text_of(static_cast<Happening>(e[what]));
     if (e[server] != 0) out += ", " + pool.text(e[server]);
@@ -94,7 +95,7 @@
     return out;
 }
 
-std::string of_query(const Row& q, const Pool& pool) {
+std::string describe_request(const Row& q, const Pool& pool) {
     using namespace query_column;
     std::string out = with_reason(text_of(static_cast<Fate>(q[outcome])), pool.text(q[reason]));
     out += " after " + ms(q[took]);
@@ -107,7 +108,7 @@
 
 }  // namespace
 
-bool read_query_name(const std::string& text, QueryName& name) {
+bool parse_request_name(const std::string& text, RequestName& name) {
     const std::size_t dot = text.find_last_of("./");
     name.origin = dot == std::string::npos ? "" : text.substr(0, dot);
     const char* from = text.data() + (dot == std::string::npos ? 0 : dot + 1);
@@ -115,9 +116,9 @@
     return end.ec == std::errc() && end.ptr == text.data() + text.size() && name.number > 0;
 }
 
-Found rows_of(const std::vector<const TraceFile*>& files, const QueryName& name, Pool& pool) {
+Found rows_of(const std::vector<const TraceFile*>& files, const RequestName& name, Pool& pool) {
     Found found;
-    const auto read = [&](const TraceFile& file, std::uint32_t block, const auto& wanted) {
+    const auto read = [&](const TraceFile& file, std::uint32_t block, const auto& matches) {
         const BlockInfo& info = file.index().blocks[block];
         Batch batch(info.table);
         std::string why;
@@ -128,21 +129,21 @@
             return;
         }
         for (std::size_t n = 0; n < batch.rows(); ++n)
-            if (wanted(batch, n)) found.rows.push_back(batch.row(n));
+            if (matches(batch, n)) found.rows.push_back(batch.row(n));
     };
     const std::int64_t origin = name.origin.empty() ? 0 : pool.code(name.origin);
     for (const TraceFile* file : files)
-        for (const std::uint32_t b : file->blocks_of_query(name.origin, name.number))
+        for (const std::uint32_t b : file->blocks_of_request(name.origin, name.number))
             read(*file, b, [&](const Batch& batch, std::size_t n) {
                 return batch.value(n, 2) == name.number && (origin == 0 || batch.value(n, 1) == origin);
             });
     if (found.rows.empty()) return found;
-    // What befell its servers meanwhile, as far as its gateway noticed.
+    // Events of its servers in the meantime, as far as its gateway noticed them.
     std::int64_t first = INT64_MAX, last = INT64_MIN;
     std::set<std::int64_t> servers;
     std::set<std::int64_t> origins;
     for (const Row& r : found.rows) {
-        first = std::min(first, r.table == Table::queries ? came_of(r) : r.at());
+        first = std::min(first, r.table == Table::queries ? arrival_time(r) : r.at());
         last = std::max(last, r.at());
         origins.insert(r[1]);
         if (r.table == Table::decisions) servers.insert(r[decision_column::server]);
@@ -158,7 +159,7 @@
             });
         }
     std::stable_sort(found.rows.begin(), found.rows.end(), [](const Row& a, const Row& b) {
-        // A query's end is its last word, whatever the block that it stands in.
+        // The row of a request comes after its other rows of the same time, whichever block holds it.
         return a.at() != b.at() ? a.at() < b.at() : (a.table == Table::queries) < (b.table == Table::queries);
     });
     return found;
@@ -167,48 +168,50 @@
 std::string sentence(const Row& row, const Pool& pool) {
     switch (row.table) {
         case Table::queries:
-            return of_query(row, pool);
+            return describe_request(row, pool);
         case Table::decisions:
-            return of_decision(row, pool);
+            return describe_decision(row, pool);
         case Table::events:
-            return of_event(row, pool);
+            return describe_event(row, pool);
     }
     return {};
 }
 
 std::string story(const std::vector<Row>& rows, const Pool& pool) {
     std::string out;
-    // A number alone may mean queries of several gateways; each gets its story.
+    // A number alone may match requests of several gateways; each gets its own explanation.
     std::vector<std::int64_t> origins;
     for (const Row& r : rows)
         if (r.table != Table::events && std::find(origins.begin(), origins.end(), r[1]) == origins.end())
             origins.push_back(r[1]);
     for (const std::int64_t origin : origins) {
-        const Row* query = nullptr;
-        std::int64_t number = 0, came = INT64_MAX;
+        const Row* request_row = nullptr;
+        std::int64_t number = 0, arrived_at = INT64_MAX;
         for (const Row& r : rows) {
             if (r[1] != origin || r.table == Table::events) continue;
             number = r[2];
-            came = std::min(came, r.table == Table::queries ? came_of(r) : r.at());
-            if (r.table == Table::queries) query = &r;
+            arrived_at = std::min(arrived_at, r.table == Table::queries ? arrival_time(r) : r.at());
+            if (r.table == Table::queries) request_row = &r;
         }
         using namespace query_column;
-        out +=
-            "query " + pool.text(origin) + "." + std::to_string(number) + ", came " + time_text(came) + "\n";
-        if (query) {
-            out += "  " + std::to_string((*query)[prompt_tokens]) + " prompt tokens, at most " +
-                   std::to_string((*query)[most_tokens]) + " to write; category " +
-                   pool.text((*query)[category]) + ", route " + pool.text((*query)[route]);
-            if ((*query)[group] != 0) out += ", client group " + pool.text((*query)[group]);
-            if ((*query)[session] != 0) out += ", of a session";
-            out += "; waits " + ms((*query)[budget]) + ", latency goal " + ms((*query)[latency_goal]) + "\n";
+        out += "query " + pool.text(origin) + "." + std::to_string(number) + ", came " +
+               time_text(arrived_at) + "\n";
+        if (request_row) {
+            out += "  " + std::to_string((*request_row)[prompt_tokens]) + " prompt tokens, at most " +
+                   std::to_string((*request_row)[most_tokens]) + " to write; category " +
+                   pool.text((*request_row)[category]) + ", route " + pool.text((*request_row)[route]);
+            if ((*request_row)[group] != 0) out += ", client group " + pool.text((*request_row)[group]);
+            if ((*request_row)[session] != 0) out += ", of a session";
+            out += "; waits " + ms((*request_row)[budget]) + ", latency goal " +
+                   ms((*request_row)[latency_goal]) + "\n";
         } else {
             out += "  its end is not in these files\n";
         }
         for (const Row& r : rows) {
             if (r[1] != origin) continue;
             char at[32];
-            std::snprintf(at, sizeof at, "  %+10.1f ms  ", static_cast<double>(minus(r.at(), came)) / 1000);
+            std::snprintf(at, sizeof at, "  %+10.1f ms  ",
+                          static_cast<double>(wrapping_subtract(r.at(), arrived_at)) / 1000);
             out += at +
                    std::string(r.table == Table::events ? "(" + sentence(r, pool) + ")" : sentence(r, pool)) +
                    "\n";
--- a/src/trace/summary.h
+++ b/src/trace/summary.h
@@ -1,5 +1,5 @@
-// What a trace comes to, by one key or another: outcomes, quantiles, attempts and waste. Two summaries of
-// parts are added up to that of the whole without any loss. Free of I/O.
+// Aggregates a trace by a key: outcomes, quantiles, attempts and waste. Summaries of parts are merged into
+// the summary of the whole without loss. Free of I/O.
 #pragma once
 
 #include <map>
@@ -12,31 +12,31 @@
 namespace copperfront::trace {
 
 enum class By { all, route, category, group, server, minute, gateway };
-// Null-terminated words as they are said on the command line, in the order of By.
-constexpr const char* kByWords[] = {"all", "route", "category", "group", "server", "minute", "gateway"};
+// Null-terminated names as given on the command line, in the order of By.
+constexpr const char* kGroupByNames[] = {"all", "route", "category", "group", "server", "minute", "gateway"};
 
-struct Sums {
-    std::uint64_t queries = 0;
-    std::uint64_t fates[5] = {};  // by Fate
+struct GroupTotals {
+    std::uint64_t requests = 0;
+    std::uint64_t outcomes[5] = {};  // indexed by Fate
     std::uint64_t in_goal = 0;
-    std::uint64_t reads = 0, writes = 0, copies = 0;
-    double prompt_tokens = 0, read_tokens = 0, answer_tokens = 0, settled_prompts = 0;
-    Sketch first_ms, whole_ms;  // of those settled
-    Sketch held_ms;
-    void add(const Row& query);
-    void merge(const Sums& other);
-    // Prompt tokens read that no settled query came of, and those read more than once, as a part of all that
-    // were read.
+    std::uint64_t prefills = 0, decodes = 0, hedges = 0;
+    double prompt_tokens = 0, prefill_tokens = 0, answer_tokens = 0, completed_prompt_tokens = 0;
+    Sketch first_token_ms, total_ms;  // of completed requests
+    Sketch queue_time_ms;
+    void add(const Row& request);
+    void merge(const GroupTotals& other);
+    // Fraction of all prefilled prompt tokens that no completed request came of, or that were prefilled more
+    // than once.
     double wasted() const;
 };
 
 class Summary {
   public:
     explicit Summary(By by) : by_(by) {}
-    // Rows of other tables are counted, no more.
+    // Rows of the other tables are only counted.
     void add(const Row& row, const Pool& pool);
     void merge(const Summary& other);
-    const std::map<std::string, Sums>& groups() const { return groups_; }
+    const std::map<std::string, GroupTotals>& groups() const { return groups_; }
     std::uint64_t decisions() const { return decisions_; }
     std::uint64_t dropped() const { return dropped_; }
     By by() const { return by_; }
@@ -47,14 +47,14 @@
 
   private:
     By by_;
-    std::map<std::string, Sums> groups_;
+    std::map<std::string, GroupTotals> groups_;
     std::uint64_t decisions_ = 0, events_ = 0, dropped_ = 0;
 };
 
-// What has changed from one to the other, group by group, as a table.
+// Returns a table of the differences between two summaries, group by group.
 std::string difference(const Summary& before, const Summary& after);
 
-// A point in time as people read it, in UTC with milliseconds.
+// Formats a time in UTC with milliseconds.
 std::string time_text(std::int64_t us);
 
 }  // namespace copperfront::trace
--- a/src/trace/writer.cpp
+++ b/src/trace/writer.cpp
@@ -2,21 +2,22 @@
 
 namespace copperfront::trace {
 
-FileWriter::FileWriter(std::unique_ptr<Out> out, Header header, int level)
+FileWriter::FileWriter(std::unique_ptr<OutputFile> out, Header header, int level)
     : out_(std::move(out)), header_(std::move(header)), level_(level) {}
 
 bool FileWriter::append(std::string_view bytes, std::string& why) {
-    if (spoilt_) {
-        why = "the file is spoilt by what could not be taken away again";
+    if (corrupt_) {
+        why = "the file is corrupt: a partial write could not be truncated";
         return false;
     }
     if (out_->append(bytes, why)) {
         size_ += bytes.size();
         return true;
     }
-    // Half a block would be passed over by a reader, but offsets of the index would not hold behind it.
-    std::string again;
-    spoilt_ = !out_->truncate(size_, again);
+    // A reader would skip a partial block, but the offsets in the index would be wrong for everything after
+    // it.
+    std::string ignored;
+    corrupt_ = !out_->truncate(size_, ignored);
     return false;
 }
 
@@ -39,7 +40,7 @@
     return append(encode_footer(indexer_.index(), size_, level_), why);
 }
 
-RowSink::RowSink(FileWriter& to, const Pool& pool) : to_(to), pool_(pool) {
+RowSink::RowSink(FileWriter& file, const Pool& pool) : file_(file), pool_(pool) {
     for (const Table t : kTables) batches_.emplace_back(t);
 }
 
@@ -47,18 +48,18 @@
     Batch& batch = batches_[static_cast<std::size_t>(row.table) - 1];
     batch.add(row);
     if (batch.rows() < kBlockRows) return true;
-    const bool well = to_.add(batch, pool_, why);
+    const bool ok = file_.add(batch, pool_, why);
     batch.clear();
-    return well;
+    return ok;
 }
 
 bool RowSink::flush(std::string& why) {
-    bool well = true;
+    bool ok = true;
     for (Batch& batch : batches_) {
-        well = well && to_.add(batch, pool_, why);
+        ok = ok && file_.add(batch, pool_, why);
         batch.clear();
     }
-    return well;
+    return ok;
 }
 
 }  // namespace copperfront::trace
--- a/tests/audit/audit_test.cpp
+++ b/tests/audit/audit_test.cpp
@@ -1,4 +1,4 @@
-// The audit against records written by hand: a clean day first, then one changed record a rule.
+// Tests the audit on records written by hand: a clean scenario first, then one changed record per rule.
 #include "audit/audit.h"
 
 #include <cassert>
@@ -21,8 +21,9 @@
     return fields;
 }
 
-// One effectful query and one receipted, each read at r and written at w, and a drain of r that is kept.
-Files clean_day() {
+// One effectful request and one receipted request, each prefilled at r and decoded at w, and a drain of r
+// that is honoured.
+Files clean_records() {
     Files f;
     f["run"] = {at(0, "terms",
                    {{"answer_slack_ms", 20},
@@ -64,37 +65,41 @@
     for (const char* category : {"once", "receipt"}) {
         const std::int64_t t = 1000 + 100 * n;
         const std::string q = "g.1.q" + std::to_string(n), state = "g.1/s" + std::to_string(n),
-                          mark = "m" + std::to_string(n);
-        const std::string read = std::to_string(n * 10 + 1), write = std::to_string(n * 10 + 2),
+                          idempotency_key = "m" + std::to_string(n);
+        const std::string prefill_id = std::to_string(n * 10 + 1), decode_id = std::to_string(n * 10 + 2),
                           id = std::to_string(n);
-        f["callers-z"].push_back(
-            at(t, "ask",
-               {{"c", "c"}, {"id", id}, {"gw", "g"}, {"cat", category}, {"mark", mark}, {"budget_ms", 500}}));
+        f["callers-z"].push_back(at(t, "ask",
+                                    {{"c", "c"},
+                                     {"id", id},
+                                     {"gw", "g"},
+                                     {"cat", category},
+                                     {"mark", idempotency_key},
+                                     {"budget_ms", 500}}));
         f["r"].push_back(at(t + 1, "in",
                             {{"q", q},
-                             {"l", read},
+                             {"l", prefill_id},
                              {"m", "read"},
                              {"gw", "g.1"},
                              {"cat", category},
-                             {"mark", mark},
+                             {"mark", idempotency_key},
                              {"state", state},
                              {"work", 100}}));
         f["r"].push_back(at(t + 10, "hold", {{"q", q}, {"state", state}}));
-        f["r"].push_back(at(t + 10, "out", {{"q", q}, {"l", read}, {"gw", "g.1"}, {"end", "read"}}));
+        f["r"].push_back(at(t + 10, "out", {{"q", q}, {"l", prefill_id}, {"gw", "g.1"}, {"end", "read"}}));
         f["w"].push_back(at(t + 11, "in",
                             {{"q", q},
-                             {"l", write},
+                             {"l", decode_id},
                              {"m", "write"},
                              {"gw", "g.1"},
                              {"cat", category},
-                             {"mark", mark},
+                             {"mark", idempotency_key},
                              {"state", state},
                              {"work", 20}}));
         f["r"].push_back(at(t + 12, "free", {{"q", q}, {"state", state}, {"why", "fetched"}}));
-        f["w"].push_back(at(t + 15, "ran", {{"q", q}, {"l", write}, {"gw", "g.1"}}));
+        f["w"].push_back(at(t + 15, "ran", {{"q", q}, {"l", decode_id}, {"gw", "g.1"}}));
         f["callers-z"].push_back(at(t + 16, "first", {{"c", "c"}, {"id", id}}));
-        f["w"].push_back(
-            at(t + 30, "out", {{"q", q}, {"l", write}, {"gw", "g.1"}, {"end", "settled"}, {"tokens", 5}}));
+        f["w"].push_back(at(t + 30, "out",
+                            {{"q", q}, {"l", decode_id}, {"gw", "g.1"}, {"end", "settled"}, {"tokens", 5}}));
         f["callers-z"].push_back(
             at(t + 31, "final", {{"c", "c"}, {"id", id}, {"end", "settled"}, {"tokens", 5}}));
         ++n;
@@ -103,7 +108,7 @@
     return f;
 }
 
-audit::Report audited(const Files& files) {
+audit::Report run_audit(const Files& files) {
     std::string folder = (std::filesystem::temp_directory_path() / "copperfront-audit-XXXXXX").string();
     assert(mkdtemp(folder.data()) != nullptr);
     for (const auto& [name, records] : files) {
@@ -128,11 +133,11 @@
     all.insert(it, std::move(r));
 }
 
-// Just that rule is broken, and the breach says so.
-void breaks(int rule, const std::string& what, const std::function<void(Files&)>& change) {
-    Files f = clean_day();
+// Asserts that only this rule is broken, and that a breach says so.
+void expect_breach(int rule, const std::string& what, const std::function<void(Files&)>& change) {
+    Files f = clean_records();
     change(f);
-    const audit::Report r = audited(f);
+    const audit::Report r = run_audit(f);
     bool named = false;
     for (const audit::Breach& b : r.breaches)
         named |= b.rule == rule && b.what.find(what) != std::string::npos;
@@ -143,31 +148,32 @@
     for (const audit::Breach& b : r.breaches) assert(b.rule == rule);
 }
 
-void a_clean_day_is_clean() {
-    const audit::Report r = audited(clean_day());
+void clean_records_pass() {
+    const audit::Report r = run_audit(clean_records());
     if (!r.clean()) std::fprintf(stderr, "%s", audit::text_of(r).c_str());
-    assert(r.clean() && r.categories.size() == 2 && r.categories[0].settled == 1);
+    assert(r.clean() && r.categories.size() == 2 && r.categories[0].completed == 1);
 }
 
-void each_rule_is_found_out() {
-    breaks(1, "no final answer ever came", [](Files& f) { record(f, "callers-z", "final")["e"] = "other"; });
-    breaks(1, "too late", [](Files& f) {
+void each_rule_is_checked() {
+    expect_breach(1, "no final answer ever came",
+                  [](Files& f) { record(f, "callers-z", "final")["e"] = "other"; });
+    expect_breach(1, "too late", [](Files& f) {
         record(f, "callers-z", "first")["e"] = "other";
         record(f, "callers-z", "final")["t"] = 1000000 + 521000;
     });
-    breaks(1, "after the final answer", [](Files& f) {
+    expect_breach(1, "after the final answer", [](Files& f) {
         insert(f, "callers-z", at(1400, "final", {{"c", "c"}, {"id", "0"}, {"end", "declined"}}));
     });
-    breaks(1, "after the final answer", [](Files& f) {
+    expect_breach(1, "after the final answer", [](Files& f) {
         insert(f, "callers-z", at(1400, "extra", {{"c", "c"}, {"id", "0"}}));
     });
-    breaks(1, "its gateway was not killed", [](Files& f) {
+    expect_breach(1, "its gateway was not killed", [](Files& f) {
         record(f, "callers-z", "final")["e"] = "other";
         insert(f, "callers-z", at(1200, "closed", {{"c", "c"}}));
     });
-    breaks(1, "doubled, missing or out of order",
-           [](Files& f) { record(f, "callers-z", "final")["torn"] = true; });
-    breaks(2, "may have run", [](Files& f) {
+    expect_breach(1, "doubled, missing or out of order",
+                  [](Files& f) { record(f, "callers-z", "final")["torn"] = true; });
+    expect_breach(2, "may have run", [](Files& f) {
         insert(f, "v",
                at(1200, "in",
                   {{"q", "g.1.q0"},
@@ -179,8 +185,8 @@
                    {"work", 20}}));
         insert(f, "v", at(1210, "out", {{"q", "g.1.q0"}, {"l", "9"}, {"gw", "g.1"}, {"end", "full"}}));
     });
-    breaks(2, "happened 2 times", [](Files& f) {
-        // A caller's own repeat, through another gateway, after a decline that was none.
+    expect_breach(2, "happened 2 times", [](Files& f) {
+        // A client's own repeat, through another gateway, after a rejection that was not genuine.
         insert(f, "v",
                at(1200, "in",
                   {{"q", "h.1.q0"},
@@ -193,9 +199,9 @@
         insert(f, "v", at(1205, "ran", {{"q", "h.1.q0"}, {"l", "9"}, {"gw", "h.1"}}));
         insert(f, "v", at(1210, "out", {{"q", "h.1.q0"}, {"l", "9"}, {"gw", "h.1"}, {"end", "settled"}}));
     });
-    breaks(2, "trying again is harmless",
-           [](Files& f) { record(f, "callers-z", "final")["end"] = "declined"; });
-    breaks(2, "outside its zone", [](Files& f) {
+    expect_breach(2, "trying again is harmless",
+                  [](Files& f) { record(f, "callers-z", "final")["end"] = "declined"; });
+    expect_breach(2, "outside its zone", [](Files& f) {
         record(f, "w", "out", 1)["end"] = "error";
         insert(f, "v",
                at(1200, "in",
@@ -207,7 +213,7 @@
                    {"mark", "m1"},
                    {"work", 20}}));
     });
-    breaks(2, "after its mark was forgotten", [](Files& f) {
+    expect_breach(2, "after its mark was forgotten", [](Files& f) {
         record(f, "w", "out", 1)["end"] = "error";
         insert(f, "w",
                at(4200, "in",
@@ -229,16 +235,16 @@
                    {"state", "x"},
                    {"work", 100}});
     };
-    breaks(3, "told that it is draining", [&](Files& f) { insert(f, "r", sent(5251)); });
-    Files kept = clean_day();
-    insert(kept, "r", sent(5249));
-    assert(audited(kept).clean());
-    breaks(3, "told that it is gone", [&](Files& f) {
-        // Missing in a whole list is gone.
+    expect_breach(3, "told that it is draining", [&](Files& f) { insert(f, "r", sent(5251)); });
+    Files in_grace = clean_records();
+    insert(in_grace, "r", sent(5249));
+    assert(run_audit(in_grace).clean());
+    expect_breach(3, "told that it is gone", [&](Files& f) {
+        // A server that is missing from a whole list has been removed.
         insert(f, "roster", at(3000, "told", {{"gw", "g.1"}, {"how", "whole"}, {"servers", Json::array()}}));
         insert(f, "r", sent(3300));
     });
-    breaks(5, "while no launch of its query was out", [](Files& f) {
+    expect_breach(5, "while no launch of its query was out", [](Files& f) {
         record(f, "w", "in")["t"] = 1000000 + 1011000;
         for (Json* r : {&record(f, "w", "ran"), &record(f, "w", "out")}) (*r)["t"] = 1000000 + 1020000;
         record(f, "r", "free")["t"] = 1000000 + 1012000;
@@ -249,13 +255,13 @@
     });
 }
 
-// Against a push on a cold server: the sum in any window counts, and only from those who knew of its start.
-void a_push_on_a_cold_server_is_found_out() {
-    const auto push = [](Files& f, bool told) {
+// Overload of a cold server: the sum over any window counts, but only from gateways that knew of its start.
+void overload_of_a_cold_server_is_detected() {
+    const auto overload = [](Files& f, bool notified) {
         record(f, "r", "start")["born_ms"] = 77;
-        if (told) record(f, "roster", "told")["servers"][0]["bornMs"] = 77;
-        // Capacity 1000 a second, half of it at first: 2 x about 0.625 x 1000 x 1 s = 1250, and 4 attempts of
-        // chance.
+        if (notified) record(f, "roster", "told")["servers"][0]["bornMs"] = 77;
+        // Capacity is 1000 tokens per second, half of it at first: 2 x about 0.625 x 1000 x 1 s = 1250, plus
+        // 4 attempts that count as chance.
         for (int n = 0; n < 17; ++n)
             insert(f, "r",
                    at(200 + n, "in",
@@ -267,33 +273,33 @@
                        {"state", "x"},
                        {"work", 100}}));
     };
-    breaks(4, "its budget", [&](Files& f) { push(f, true); });
-    Files unknown = clean_day();
-    push(unknown, false);
-    assert(audited(unknown).breaches.empty());
-    Files few = clean_day();
+    expect_breach(4, "its budget", [&](Files& f) { overload(f, true); });
+    Files unknown = clean_records();
+    overload(unknown, false);
+    assert(run_audit(unknown).breaches.empty());
+    Files few = clean_records();
     record(few, "r", "start")["born_ms"] = 77;
     record(few, "roster", "told")["servers"][0]["bornMs"] = 77;
-    assert(audited(few).clean());
+    assert(run_audit(few).clean());
 }
 
-// A state whose read ended just after its gateway was killed is not pinned by anybody.
-void what_a_killed_gateway_left_is_excused() {
-    Files f = clean_day();
+// A state whose prefill ended just after its gateway was killed is no breach.
+void states_of_a_killed_gateway_are_excused() {
+    Files f = clean_records();
     record(f, "r", "free")["t"] = 6000000;
     record(f, "r", "free")["why"] = "abandoned";
     std::stable_sort(f["r"].begin(), f["r"].end(),
                      [](const Json& a, const Json& b) { return a["t"] < b["t"]; });
-    assert(!audited(f).clean());
+    assert(!run_audit(f).clean());
     insert(f, "run", at(1005, "killed", {{"name", "g"}}));
-    assert(audited(f).clean());
+    assert(run_audit(f).clean());
 }
 
-// Against taking a repeat for the try before it: the first is declined without an attempt, and the second,
-// which the same gateway attempts soon after, is settled. An attempt of the first's own that is declined is
-// still found out.
-void a_repeat_is_not_the_try_before_it() {
-    Files f = clean_day();
+// A repeat must not be attributed to the request before it: the first is rejected without an attempt, and the
+// second, which the same gateway attempts soon after, is completed. A request that is rejected after an
+// attempt of its own is still detected.
+void a_repeat_is_not_attributed_to_the_request_before_it() {
+    Files f = clean_records();
     const auto asked = [](std::int64_t t, const char* id) {
         return at(t, "ask",
                   {{"c", "d"}, {"id", id}, {"gw", "g"}, {"cat", "once"}, {"mark", "m0"}, {"budget_ms", 500}});
@@ -302,35 +308,35 @@
         at(990, "final", {{"c", "d"}, {"id", "90"}, {"end", "declined"}, {"text", "later"}});
     insert(f, "callers-z", asked(980, "90"));
     insert(f, "callers-z", declined);
-    if (!audited(f).clean()) std::fprintf(stderr, "%s", audit::text_of(audited(f)).c_str());
-    assert(audited(f).clean());
-    // It came to the gateway before the repeat was asked.
+    if (!run_audit(f).clean()) std::fprintf(stderr, "%s", audit::text_of(run_audit(f)).c_str());
+    assert(run_audit(f).clean());
+    // The attempt was made before the repeat was sent.
     Files late = f;
     for (const char* file : {"r", "w"})
         for (Json& r : late[file])
             if (r.value("q", "") == "g.1.q0") r["t"] = r["t"].get<std::int64_t>() - 15000;
-    assert(!audited(late).clean());
+    assert(!run_audit(late).clean());
 }
 
-// A torn record gives no clean bill; that of a killed process may be torn.
-void torn_records_are_known() {
-    Files f = clean_day();
+// A damaged record prevents a pass, unless its process was killed.
+void damaged_records_are_detected() {
+    Files f = clean_records();
     f["w"].pop_back();
-    assert(!audited(f).clean() && audited(f).breaches.empty());
+    assert(!run_audit(f).clean() && run_audit(f).breaches.empty());
     insert(f, "run", at(8000, "killed", {{"name", "w"}}));
-    assert(audited(f).clean());
-    Files missing = clean_day();
+    assert(run_audit(f).clean());
+    Files missing = clean_records();
     missing.erase("roster");
-    assert(!audited(missing).clean());
+    assert(!run_audit(missing).clean());
 }
 
 }  // namespace
 
 int main() {
-    a_clean_day_is_clean();
-    each_rule_is_found_out();
-    a_push_on_a_cold_server_is_found_out();
-    what_a_killed_gateway_left_is_excused();
-    a_repeat_is_not_the_try_before_it();
-    torn_records_are_known();
+    clean_records_pass();
+    each_rule_is_checked();
+    overload_of_a_cold_server_is_detected();
+    states_of_a_killed_gateway_are_excused();
+    a_repeat_is_not_attributed_to_the_request_before_it();
+    damaged_records_are_detected();
 }
