--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -1,6 +1,6 @@
-// Traces against what happens to files: cut off, flipped, half written, still written, of two versions, from
-// clocks that step back, on disks that fill. What is read is always something that was written; what is not
-// read is said.
+// Tests of trace files that are truncated, corrupted, partially written, still being written, of two
+// versions, written by clocks that step back, or on full disks. Every row read must have been written;
+// whatever cannot be read must be reported.
 #include <rapidcheck.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -31,21 +31,21 @@
 
 namespace {
 
-// Files in memory on a disk with so much room.
+// An in-memory file system with limited space.
 struct FakeDisk : Disk {
     std::map<std::string, std::shared_ptr<std::string>> files;
-    std::uint64_t room = UINT64_MAX, used = 0;
-    bool truncates = true;
+    std::uint64_t capacity = UINT64_MAX, used = 0;
+    bool can_truncate = true;
     std::mutex mutex;
 
-    struct FakeOut : Out {
+    struct FakeOutputFile : OutputFile {
         FakeDisk& disk;
         std::shared_ptr<std::string> text;
-        FakeOut(FakeDisk& d, std::shared_ptr<std::string> t) : disk(d), text(std::move(t)) {}
+        FakeOutputFile(FakeDisk& d, std::shared_ptr<std::string> t) : disk(d), text(std::move(t)) {}
         bool append(std::string_view bytes, std::string& why) override {
             const std::lock_guard lock(disk.mutex);
             const std::uint64_t fits =
-                std::min<std::uint64_t>(bytes.size(), disk.room - std::min(disk.room, disk.used));
+                std::min<std::uint64_t>(bytes.size(), disk.capacity - std::min(disk.capacity, disk.used));
             text->append(bytes.substr(0, static_cast<std::size_t>(fits)));
             disk.used += fits;
             why = "No space left on device";
@@ -53,25 +53,25 @@
         }
         bool truncate(std::uint64_t size, std::string&) override {
             const std::lock_guard lock(disk.mutex);
-            if (!disk.truncates) return false;
+            if (!disk.can_truncate) return false;
             disk.used -= text->size() - size;
             text->resize(static_cast<std::size_t>(size));
             return true;
         }
         bool sync(std::string&) override { return true; }
     };
-    std::unique_ptr<Out> create(const std::string& path, std::string& why) override {
+    std::unique_ptr<OutputFile> create(const std::string& path, std::string& why) override {
         const std::lock_guard lock(mutex);
         if (files.count(path)) {
             why = "File exists";
             return nullptr;
         }
         files[path] = std::make_shared<std::string>();
-        return std::make_unique<FakeOut>(*this, files[path]);
+        return std::make_unique<FakeOutputFile>(*this, files[path]);
     }
-    std::vector<Kept> list(const std::string& folder) override {
+    std::vector<FileEntry> list(const std::string& folder) override {
         const std::lock_guard lock(mutex);
-        std::vector<Kept> out;
+        std::vector<FileEntry> out;
         for (const auto& [path, text] : files)
             if (path.rfind(folder + "/", 0) == 0)
                 out.push_back({path.substr(folder.size() + 1), text->size()});
@@ -85,17 +85,17 @@
         }
         return true;
     }
-    std::uint64_t in_use() {
+    std::uint64_t used_bytes() {
         const std::lock_guard lock(mutex);
         return used;
     }
-    void give(std::uint64_t more) {
+    void set_capacity(std::uint64_t more) {
         const std::lock_guard lock(mutex);
-        room = more;
+        capacity = more;
     }
 };
 
-std::unique_ptr<TraceFile> opened(std::string bytes, const std::string& name = "x") {
+std::unique_ptr<TraceFile> open_bytes(std::string bytes, const std::string& name = "x") {
     std::string why;
     auto file = TraceFile::open(std::make_unique<TextSource>(std::move(bytes)), name, why);
     if (!file) std::fprintf(stderr, "%s\n", why.c_str());
@@ -112,7 +112,7 @@
     return out;
 }
 
-// A file of these rows, so many to a block.
+// Returns a file of these rows, with `block_rows` rows per block.
 std::string file_of(const std::vector<Row>& rows, const Pool& pool, std::size_t block_rows,
                     std::uint32_t version = kNewest, bool close = true,
                     const std::string& origin = "g1.18f3a") {
@@ -135,18 +135,18 @@
     return *disk.files.at("f");
 }
 
-std::vector<Row> some_rows(Pool& pool, int queries, std::uint32_t seed = 3,
-                           const std::string& gateway = "g1") {
-    RandomDay day(pool, seed, gateway);
+std::vector<Row> random_rows(Pool& pool, int queries, std::uint32_t seed = 3,
+                             const std::string& gateway = "g1") {
+    RandomDay generator(pool, seed, gateway);
     std::vector<Row> all, one;
     for (int n = 0; n < queries; ++n) {
-        day.next(one);
+        generator.next(one);
         all.insert(all.end(), one.begin(), one.end());
     }
     return all;
 }
 
-// Rows of two pools are compared by their texts.
+// Rows with different pools are compared by their texts.
 std::multiset<std::string> texts(const std::vector<Row>& rows, Pool& pool) {
     JsonLines lines(pool);
     std::multiset<std::string> out;
@@ -158,11 +158,11 @@
     return out;
 }
 
-Row any_row(Pool& pool) {
+Row arbitrary_row(Pool& pool) {
     Row row(*rc::gen::element(Table::queries, Table::decisions, Table::events));
     const auto columns = columns_of(row.table);
-    const auto value = [&](Store store) -> std::int64_t {
-        if (is_name(store))
+    const auto value = [&](Encoding encoding) -> std::int64_t {
+        if (is_name(encoding))
             return pool.code(
                 *rc::gen::element<std::string>("", "a", "a longer name", "\xff\x00 bytes", "\"\n"));
         if (*rc::gen::inRange(0, 4) == 0) return *rc::gen::element<std::int64_t>(INT64_MIN, INT64_MAX, -1, 0);
@@ -170,45 +170,46 @@
     };
     std::size_t list = 0;
     for (std::size_t c = 0; c < columns.size(); ++c) {
-        if (!is_list(columns[c].store)) {
-            row[c] = value(columns[c].store);
+        if (!is_list(columns[c].encoding)) {
+            row[c] = value(columns[c].encoding);
             continue;
         }
-        for (int n = *rc::gen::inRange(0, 4); n > 0; --n) row.lists[list].push_back(value(columns[c].store));
+        for (int n = *rc::gen::inRange(0, 4); n > 0; --n)
+            row.lists[list].push_back(value(columns[c].encoding));
         ++list;
     }
     return row;
 }
 
-void what_is_written_is_read() {
+void written_rows_are_read_back() {
     assert(rc::check("rows", [] {
         Pool pool, other;
         std::vector<Row> rows;
-        for (int n = *rc::gen::inRange(1, 40); n > 0; --n) rows.push_back(any_row(pool));
+        for (int n = *rc::gen::inRange(1, 40); n > 0; --n) rows.push_back(arbitrary_row(pool));
         const auto block = *rc::gen::inRange<std::size_t>(1, 20);
-        auto file = opened(file_of(rows, pool, block, kNewest, *rc::gen::arbitrary<bool>()));
+        auto file = open_bytes(file_of(rows, pool, block, kNewest, *rc::gen::arbitrary<bool>()));
         RC_ASSERT(file != nullptr);
-        RC_ASSERT(file->torn().empty());
+        RC_ASSERT(file->damaged_ranges().empty());
         const std::vector<Row> back = rows_in(*file, other);
         RC_ASSERT(texts(back, other) == texts(rows, pool));
     }));
 }
 
-// Against a kill at any byte: every block that was whole is read, and nothing that was not written.
-void a_file_cut_off_anywhere_gives_its_whole_blocks() {
+// A process may be killed at any byte: every intact block must be read, and nothing that was not written.
+void a_truncated_file_yields_its_intact_blocks() {
     Pool pool;
-    const std::vector<Row> rows = some_rows(pool, 12);
+    const std::vector<Row> rows = random_rows(pool, 12);
     const std::string whole = file_of(rows, pool, 16);
-    const auto full = opened(whole);
+    const auto full = open_bytes(whole);
     assert(full && full->closed());
     const auto all = texts(rows, pool);
-    std::size_t headless = 0;
+    std::size_t headerless = 0;
     for (std::size_t size = 0; size < whole.size(); ++size) {
         std::string why;
         const auto file = TraceFile::open(std::make_unique<TextSource>(whole.substr(0, size)), "x", why);
         if (!file) {
             assert(!why.empty());
-            ++headless;
+            ++headerless;
             continue;
         }
         assert(!file->closed());
@@ -224,23 +225,25 @@
         assert(back.size() == expected);
         const auto got = texts(back, other);
         assert(std::includes(all.begin(), all.end(), got.begin(), got.end()));
-        // What is over is told, with what it held at most where that can be known.
-        std::uint64_t torn = 0;
-        for (const Torn& t : file->torn()) torn += t.bytes;
-        if (end > 0) assert(torn == size - end);
+        // The remaining bytes are reported, with the maximum number of rows that they held where that is
+        // known.
+        std::uint64_t damaged_bytes = 0;
+        for (const DamagedRange& t : file->damaged_ranges()) damaged_bytes += t.bytes;
+        if (end > 0) assert(damaged_bytes == size - end);
         const auto next =
             std::find_if(full->index().blocks.begin(), full->index().blocks.end(),
                          [&](const BlockInfo& b) { return b.offset <= size && size < b.offset + b.size; });
         if (next != full->index().blocks.end() && size >= next->offset + kBlockHead)
-            assert(file->torn().size() == 1 && file->torn()[0].rows == next->rows);
+            assert(file->damaged_ranges().size() == 1 && file->damaged_ranges()[0].rows == next->rows);
     }
-    assert(headless < 1500 && headless > 16);
+    assert(headerless < 1500 && headerless > 16);
 }
 
-// Against bits that flip on a disk: what is read was written; a block with a wrong sum is never read.
-void flipped_bits_never_make_a_false_row() {
+// Bits may flip on a disk: every row read must have been written, and a block with a wrong checksum is never
+// read.
+void flipped_bits_never_yield_false_rows() {
     Pool pool;
-    const std::vector<Row> rows = some_rows(pool, 20);
+    const std::vector<Row> rows = random_rows(pool, 20);
     const std::string whole = file_of(rows, pool, 8);
     const auto all = texts(rows, pool);
     std::minstd_rand chance(11);
@@ -263,28 +266,29 @@
         });
         const auto got = texts(back, other);
         assert(std::includes(all.begin(), all.end(), got.begin(), got.end()));
-        // Whatever is missing is told, by the file or by the reading of it.
-        if (got.size() < all.size()) assert(!file->torn().empty() || !r.troubles.empty());
+        // Missing rows are reported, either by the file or when reading it.
+        if (got.size() < all.size()) assert(!file->damaged_ranges().empty() || !r.troubles.empty());
     }
     assert(unread < 600);
 }
 
-// Against a newer writer: columns and tables that are not known here are passed over.
-void unknown_columns_and_tables_are_passed_over() {
+// A file of a newer writer: unknown columns and tables are skipped.
+void unknown_columns_and_tables_are_skipped() {
     Pool pool;
-    const std::vector<Row> rows = some_rows(pool, 5);
+    const std::vector<Row> rows = random_rows(pool, 5);
     Header newer = Header::of(kNewest, "g1.18f3a", "z", 0);
     for (StoredTable& t : newer.tables) {
         t.columns.insert(t.columns.begin() + 2,
-                         {"colour", Store::name, 1});  // as if it were the origin again
-        t.columns.push_back({"weight", Store::number, 0});
+                         {"colour", Encoding::name, 1});  // claims the index of the origin column
+        t.columns.push_back({"weight", Encoding::number, 0});
         if (t.number == 1)
-            t.columns.push_back({"prompt_tokens", Store::mark, 9});  // of another kind: not ours
+            t.columns.push_back(
+                {"prompt_tokens", Encoding::hash, 9});  // of another type, so not the known column
     }
-    StoredTable stranger;
-    stranger.number = 9;
-    stranger.columns = {{"at", Store::delta, 0}};
-    newer.tables.push_back(stranger);
+    StoredTable unknown_table;
+    unknown_table.number = 9;
+    unknown_table.columns = {{"at", Encoding::delta, 0}};
+    newer.tables.push_back(unknown_table);
     std::string bytes = encode(newer), why;
     Batch batch(Table::decisions), queries(Table::queries);
     for (const Row& row : rows) {
@@ -293,10 +297,10 @@
     }
     std::string block = encode(newer, batch, pool);
     bytes += block + encode(newer, queries, pool);
-    auto file = opened(bytes);
+    auto file = open_bytes(bytes);
     Pool other;
     assert(file && texts(rows_in(*file, other), other) == texts(rows, pool));
-    // A version that this program does not know is refused, and says which it knows.
+    // An unknown version is rejected with a message that names the supported versions.
     std::string future = bytes;
     future[8] = 9;
     assert(!TraceFile::open(std::make_unique<TextSource>(future), "x", why));
@@ -316,91 +320,90 @@
     return out;
 }
 
-bool by_time(const std::vector<Row>& rows) {
+bool is_sorted_by_time(const std::vector<Row>& rows) {
     return std::is_sorted(rows.begin(), rows.end(),
                           [](const Row& a, const Row& b) { return a.at() < b.at(); });
 }
 
-// The old version knows of queries alone; both together are all rows by time, and the old one's have no
+// The old version has requests only; merged files contain all rows by time, and those of the old file have no
 // decisions.
 void two_versions_are_merged() {
     Pool pool, other;
-    const std::vector<Row> a = some_rows(pool, 50, 3, "g1"), b = some_rows(pool, 50, 4, "g2");
-    const auto old = opened(file_of(a, pool, 64, 1, true, "g1.18f3a"));
-    const auto now = opened(file_of(b, pool, 64, 2, true, "g2.18f3a"));
+    const std::vector<Row> a = random_rows(pool, 50, 3, "g1"), b = random_rows(pool, 50, 4, "g2");
+    const auto old = open_bytes(file_of(a, pool, 64, 1, true, "g1.18f3a"));
+    const auto now = open_bytes(file_of(b, pool, 64, 2, true, "g2.18f3a"));
     assert(old->header().version == 1 && old->rows(Table::queries) == 50 && old->rows(Table::decisions) == 0);
     const std::vector<Row> all = merged({old.get(), now.get()}, other);
-    assert(by_time(all) && all.size() == 50 + b.size());
+    assert(is_sorted_by_time(all) && all.size() == 50 + b.size());
     for (const Row& row : all)
         if (row.table == Table::queries && other.text(row[1]) == "g1.18f3a")
             assert(row[query_column::generation] == 0 && row[query_column::took] > 0);
 }
 
-// Against clocks: rows out of order, equal times, a clock that steps back by an hour and one that runs
-// behind.
-void times_may_do_as_they_like() {
+// Rows out of order, equal times, a clock that steps back by an hour and one that runs behind.
+void unordered_times_are_handled() {
     assert(rc::check("times", [] {
         Pool pool, other;
-        std::vector<Row> rows = some_rows(pool, 30);
+        std::vector<Row> rows = random_rows(pool, 30);
         for (Row& row : rows) {
             const int what = *rc::gen::inRange(0, 10);
             if (what == 0) row[0] -= 3600'000'000;
             if (what == 1) row[0] = 1'764'600'000'000'000;
         }
-        const auto file = opened(file_of(rows, pool, *rc::gen::inRange<std::size_t>(1, 50)));
+        const auto file = open_bytes(file_of(rows, pool, *rc::gen::inRange<std::size_t>(1, 50)));
         const std::vector<Row> back = merged({file.get()}, other);
-        RC_ASSERT(by_time(back));
+        RC_ASSERT(is_sorted_by_time(back));
         RC_ASSERT(texts(back, other) == texts(rows, pool));
-        // A cut by time is what a look at every row gives.
-        Wanted wanted;
-        wanted.from = rows[*rc::gen::inRange<std::size_t>(0, rows.size())].at();
-        wanted.until = wanted.from + 400000;
+        // Cutting by time gives the same rows as checking every row.
+        Wanted filter;
+        filter.from = rows[*rc::gen::inRange<std::size_t>(0, rows.size())].at();
+        filter.until = filter.from + 400000;
         std::vector<Row> found, expected;
-        cut({file.get()}, wanted, other, [&](const Row& row) {
+        cut({file.get()}, filter, other, [&](const Row& row) {
             found.push_back(row);
             return true;
         });
         for (const Row& row : rows)
-            if (row.at() >= wanted.from && row.at() <= wanted.until) expected.push_back(row);
+            if (row.at() >= filter.from && row.at() <= filter.until) expected.push_back(row);
         RC_ASSERT(texts(found, other) == texts(expected, pool));
     }));
 }
 
-void what_stands_in_several_files_is_written_once() {
+void duplicates_across_files_are_merged() {
     Pool pool, other;
-    const std::vector<Row> rows = some_rows(pool, 60);
+    const std::vector<Row> rows = random_rows(pool, 60);
     const std::vector<Row> first(rows.begin(), rows.begin() + 200), second(rows.begin() + 100, rows.end());
-    const auto a = opened(file_of(first, pool, 32)), b = opened(file_of(second, pool, 50));
+    const auto a = open_bytes(file_of(first, pool, 32)), b = open_bytes(file_of(second, pool, 50));
     std::uint64_t duplicates = 0;
     const std::vector<Row> all = merged({a.get(), b.get(), a.get()}, other, &duplicates);
     assert(texts(all, other) == texts(rows, pool) && duplicates == 300);
-    // Two alike in one file are two things.
+    // Two equal rows in one file are separate rows.
     std::vector<Row> twice{rows[0], rows[0], rows[1]};
-    const auto c = opened(file_of(twice, pool, 10));
+    const auto c = open_bytes(file_of(twice, pool, 10));
     assert(merged({c.get()}, other).size() == 3);
-    // An offset moves one file's rows against the other's.
-    const std::vector<Row> moved = merged({a.get(), b.get()}, other, &duplicates, {0, 5'000'000});
-    assert(duplicates == 0 && by_time(moved) && moved.size() == first.size() + second.size());
+    // An offset shifts one file's rows relative to the other's.
+    const std::vector<Row> shifted = merged({a.get(), b.get()}, other, &duplicates, {0, 5'000'000});
+    assert(duplicates == 0 && is_sorted_by_time(shifted) && shifted.size() == first.size() + second.size());
 }
 
-// Sixty-four files at once hold a few blocks each, whatever their length.
-void a_merge_holds_few_blocks() {
+// Merging 64 files keeps only a few blocks of each in memory, regardless of their length.
+void a_merge_loads_few_blocks() {
     Pool pool, other;
     std::vector<std::unique_ptr<TraceFile>> files;
     std::vector<Merger::Input> inputs;
     std::uint64_t rows = 0;
     for (std::uint32_t n = 0; n < 64; ++n) {
-        std::vector<Row> all = some_rows(pool, 400, n + 1, "g" + std::to_string(n));
-        // As a gateway writes them.
+        std::vector<Row> all = random_rows(pool, 400, n + 1, "g" + std::to_string(n));
+        // In the order in which a gateway writes them.
         std::stable_sort(all.begin(), all.end(), [](const Row& a, const Row& b) { return a.at() < b.at(); });
         rows += all.size();
-        files.push_back(opened(file_of(all, pool, 16)));
+        files.push_back(open_bytes(file_of(all, pool, 16)));
         inputs.push_back({files.back().get(), 0});
     }
     Merger merger(inputs, other);
     std::size_t most = 0;
     std::uint64_t got = 0;
-    for (Row row; merger.next(row); ++got) most = std::max(most, merger.blocks_held());
+    for (Row row; merger.next(row); ++got) most = std::max(most, merger.loaded_blocks());
     assert(got == rows && most <= 64 * 4);
 }
 
@@ -434,28 +437,28 @@
         }
         a.merge(b);
         std::sort(samples.begin(), samples.end());
-        for (const double part : {0.0, 0.1, 0.5, 0.9, 0.99, 1.0}) {
+        for (const double rank : {0.0, 0.1, 0.5, 0.9, 0.99, 1.0}) {
             const double truth =
-                samples[static_cast<std::size_t>(part * static_cast<double>(samples.size() - 1))];
-            RC_ASSERT(std::abs(all.quantile(part) - truth) <= truth * (Sketch::kError + 1e-9) + 1e-9);
-            RC_ASSERT(a.quantile(part) == all.quantile(part));
+                samples[static_cast<std::size_t>(rank * static_cast<double>(samples.size() - 1))];
+            RC_ASSERT(std::abs(all.quantile(rank) - truth) <= truth * (Sketch::kRelativeError + 1e-9) + 1e-9);
+            RC_ASSERT(a.quantile(rank) == all.quantile(rank));
         }
         RC_ASSERT(a.count() == samples.size());
     }));
 }
 
-void json_lines_come_back() {
+void json_lines_round_trip() {
     assert(rc::check("lines", [] {
         Pool pool;
         JsonLines lines(pool);
-        // JSON has no bytes that are not UTF-8.
-        Row row = any_row(pool);
-        const std::int64_t bytes = pool.code("\xff\x00 bytes"), plain = pool.code("plain");
+        // JSON cannot hold bytes that are not UTF-8.
+        Row row = arbitrary_row(pool);
+        const std::int64_t binary = pool.code("\xff\x00 bytes"), plain = pool.code("plain");
         const auto columns = columns_of(row.table);
         for (std::size_t c = 0; c < columns.size(); ++c)
-            if (is_name(columns[c].store) && row[c] == bytes) row[c] = plain;
+            if (is_name(columns[c].encoding) && row[c] == binary) row[c] = plain;
         for (std::int64_t& v : row.lists[0])
-            if (v == bytes) v = plain;
+            if (v == binary) v = plain;
         std::string text, why;
         lines.append(row, text);
         Row back;
@@ -480,11 +483,10 @@
     }
 }
 
-// Nothing of a caller is left; what was equal is equal, under one key, and under another it is something
-// else.
-void anonymised_rows_tell_nothing_but_equality() {
+// No original value remains; equal values stay equal under one key and differ under another.
+void anonymised_rows_preserve_only_equality() {
     Pool pool;
-    const std::vector<Row> rows = some_rows(pool, 200);
+    const std::vector<Row> rows = random_rows(pool, 200);
     Anonymiser one("a key of sixteen", {}, pool), same("a key of sixteen", {}, pool),
         other("another key of 16", {}, pool);
     std::map<std::int64_t, std::int64_t> sessions, back;
@@ -497,9 +499,9 @@
     std::vector<Row> changed;
     for (const Row& row : rows) {
         Row a = row, b = row, c = row;
-        one.change(a);
-        same.change(b);
-        other.change(c);
+        one.anonymise(a);
+        same.anonymise(b);
+        other.anonymise(c);
         assert(a == b);
         changed.push_back(a);
         if (row.table != Table::queries || row[query_column::session] == 0) continue;
@@ -512,26 +514,27 @@
         assert(a[query_column::prompt_tokens] == row[query_column::prompt_tokens]);
     }
     const std::string bytes = file_of(changed, pool, 4096, kNewest, true, "");
-    const auto file = opened(bytes);
+    const auto file = open_bytes(bytes);
     Pool fresh;
     for (const std::string& line : texts(rows_in(*file, fresh), fresh))
         for (const char* name : {"bakery", "books", "g1", "10.0.", "long prompts", "points-help"})
             assert(line.find(name) == std::string::npos);
     Anonymiser coarse("a key of sixteen", {100000, 256}, pool);
     Row q = rows.back();
-    coarse.change(q);
+    coarse.anonymise(q);
     assert(q.at() % 100000 == 0 && q[query_column::prompt_tokens] % 256 == 0 &&
            q[query_column::prompt_tokens] >= rows.back()[query_column::prompt_tokens]);
 }
 
-void a_query_is_explained_from_its_own_blocks() {
+void a_request_is_explained_from_its_own_blocks() {
     Pool pool, other;
-    const std::vector<Row> rows = some_rows(pool, 2000);
-    const auto file = opened(file_of(rows, pool, 256));
-    QueryName name;
-    assert(read_query_name("g1.18f3a.1234", name) && name.origin == "g1.18f3a" && name.number == 1234);
-    assert(!read_query_name("g1.", name) && !read_query_name("x", name) && !read_query_name("g1.2x", name));
-    read_query_name("g1.18f3a.1234", name);
+    const std::vector<Row> rows = random_rows(pool, 2000);
+    const auto file = open_bytes(file_of(rows, pool, 256));
+    RequestName name;
+    assert(parse_request_name("g1.18f3a.1234", name) && name.origin == "g1.18f3a" && name.number == 1234);
+    assert(!parse_request_name("g1.", name) && !parse_request_name("x", name) &&
+           !parse_request_name("g1.2x", name));
+    parse_request_name("g1.18f3a.1234", name);
     const Found found = rows_of({file.get()}, name, other);
     std::vector<Row> expected;
     for (const Row& r : rows)
@@ -546,24 +549,24 @@
     assert(rows_of({file.get()}, {"g9.1", 5}, other).rows.empty());
 }
 
-void a_cut_by_route_brings_whole_stories() {
+void a_cut_by_route_includes_all_rows_of_a_request() {
     Pool pool, other;
-    const std::vector<Row> rows = some_rows(pool, 300);
-    const auto file = opened(file_of(rows, pool, 64));
+    const std::vector<Row> rows = random_rows(pool, 300);
+    const auto file = open_bytes(file_of(rows, pool, 64));
     std::set<std::int64_t> of_web;
     for (const Row& r : rows)
         if (r.table == Table::queries && pool.text(r[query_column::route]) == "web") of_web.insert(r[2]);
     std::vector<Row> expected, found;
     for (const Row& r : rows)
         if (of_web.count(r[2])) expected.push_back(r);
-    Wanted wanted;
-    wanted.route = "web";
-    cut({file.get()}, wanted, other, [&](const Row& row) {
+    Wanted filter;
+    filter.route = "web";
+    cut({file.get()}, filter, other, [&](const Row& row) {
         found.push_back(row);
         return true;
     });
     assert(!expected.empty() && texts(found, other) == texts(expected, pool));
-    // By server: every query that was there, whole.
+    // By server: every request that was sent there, with all its rows.
     Wanted at;
     at.server = "10.0.0.3:8000";
     std::size_t whole = 0, all = 0;
@@ -577,8 +580,8 @@
 
 void summaries_of_parts_add_up() {
     Pool pool;
-    const std::vector<Row> rows = some_rows(pool, 500);
-    for (std::size_t by = 0; by < std::size(kByWords); ++by) {
+    const std::vector<Row> rows = random_rows(pool, 500);
+    for (std::size_t by = 0; by < std::size(kGroupByNames); ++by) {
         Summary whole(static_cast<By>(by)), a(static_cast<By>(by)), b(static_cast<By>(by));
         for (std::size_t n = 0; n < rows.size(); ++n) {
             whole.add(rows[n], pool);
@@ -586,19 +589,19 @@
         }
         a.merge(b);
         assert(a.json() == whole.json() && a.csv() == whole.csv() && a.text() == whole.text());
-        assert(difference(a, whole).find('\n') == difference(a, whole).size() - 1);  // its heading alone
+        assert(difference(a, whole).find('\n') == difference(a, whole).size() - 1);  // heading only
     }
     Summary all(By::all);
     for (const Row& r : rows) all.add(r, pool);
-    const Sums& s = all.groups().at("all");
-    std::uint64_t fates = 0;
-    for (const std::uint64_t f : s.fates) fates += f;
-    assert(s.queries == 500 && fates == 500 && s.reads == s.fates[0] && s.wasted() == 0);
+    const GroupTotals& s = all.groups().at("all");
+    std::uint64_t outcomes = 0;
+    for (const std::uint64_t f : s.outcomes) outcomes += f;
+    assert(s.requests == 500 && outcomes == 500 && s.prefills == s.outcomes[0] && s.wasted() == 0);
 }
 
 // ---- writing
 
-struct Story {
+struct RecorderFixture {
     FakeDisk disk;
     KeepingTerms terms;
     Instant now{1'764'600'000'000'000};
@@ -606,7 +609,7 @@
     std::int64_t number = 0;
 
     void start() { recorder = std::make_unique<Recorder>(disk, terms, "t", "g1", "18f3a", "z", now); }
-    // Rows, handed over as the loop would.
+    // Adds rows and passes them to the writer thread as the loop would.
     void put(int rows) {
         Row row;
         row[query_column::origin] = recorder->origin();
@@ -627,13 +630,13 @@
             std::this_thread::sleep_for(std::chrono::microseconds(500));
         assert(done());
     }
-    // All that is on the disk: numbers of queries, and rows said to be dropped.
+    // Reads the files on the disk: numbers of requests, and rows reported as dropped.
     std::pair<std::vector<std::int64_t>, std::uint64_t> read() {
         std::pair<std::vector<std::int64_t>, std::uint64_t> out;
         for (const auto& [path, bytes] : disk.files) {
             if (bytes->empty()) continue;
             Pool pool;
-            const auto file = opened(*bytes, path);
+            const auto file = open_bytes(*bytes, path);
             assert(file);
             for (const Row& row : rows_in(*file, pool)) {
                 if (row.table == Table::queries) out.first.push_back(row[query_column::query]);
@@ -646,7 +649,7 @@
 };
 
 void a_gateway_writes_and_rotates_within_its_budget() {
-    Story s;
+    RecorderFixture s;
     s.terms.file_bytes = 3000;
     s.terms.folder_bytes = 12000;
     s.disk.files["t/g2-1-000001.cft"] = std::make_shared<std::string>(50000, 'x');  // another gateway's
@@ -662,28 +665,27 @@
     for (const auto& [path, bytes] : s.disk.files) {
         if (path.find("g2-") != std::string::npos) continue;
         mine += bytes->size();
-        const auto file = opened(*bytes);
+        const auto file = open_bytes(*bytes);
         assert(file && file->header().origin == "g1.18f3a");
         open += !file->closed();
     }
     assert(mine <= 12000 && open == 0 && s.disk.files.count("t/g2-1-000001.cft"));
     s.disk.files.erase("t/g2-1-000001.cft");
     const auto [numbers, dropped] = s.read();
-    // The newest are all there, one after another.
+    // The newest requests are all present and consecutive.
     assert(dropped == 0 && numbers.back() == s.number && !numbers.empty());
     for (std::size_t n = 1; n < numbers.size(); ++n) assert(numbers[n] == numbers[n - 1] + 1);
 }
 
-// Against a disk that fills: serving goes on, it is told once, and what went lost is counted in the trace
-// itself.
-void a_full_disk_is_told_once_and_recovers() {
-    for (const bool truncates : {true, false}) {
-        Story s;
-        s.disk.truncates = truncates;
+// A full disk: serving goes on, it is reported once, and the lost rows are counted in the trace itself.
+void a_full_disk_is_reported_once_and_recovers() {
+    for (const bool can_truncate : {true, false}) {
+        RecorderFixture s;
+        s.disk.can_truncate = can_truncate;
         s.start();
         s.put(100);
         s.wait([&] { return s.recorder->written() == 100; });
-        s.disk.give(s.disk.in_use() + 100);
+        s.disk.set_capacity(s.disk.used_bytes() + 100);
         std::vector<std::string> news;
         for (int n = 0; n < 30; ++n) {
             s.put(100);
@@ -691,7 +693,7 @@
             for (std::string& line : s.recorder->news()) news.push_back(std::move(line));
         }
         assert(news.size() == 1 && news[0].find("No space left") != std::string::npos);
-        s.disk.give(UINT64_MAX);
+        s.disk.set_capacity(UINT64_MAX);
         s.now = s.now + Span{60'000'000};
         s.put(100);
         s.wait([&] { return s.recorder->written() >= 201; });
@@ -703,13 +705,13 @@
     }
 }
 
-// Against a disk that does not keep up: what waits is bounded, and the loop never does.
-void a_slow_disk_makes_no_queue_without_end() {
-    Story s;
+// A slow disk: the queue is bounded, and the loop never waits.
+void the_queue_for_a_slow_disk_is_bounded() {
+    RecorderFixture s;
     s.terms.queue = 4;
     s.start();
     {
-        const std::lock_guard stuck(s.disk.mutex);  // the thread hangs in its first write
+        const std::lock_guard stuck(s.disk.mutex);  // the writer thread blocks in its first write
         for (int n = 0; n < 50; ++n) s.put(10);
     }
     assert(s.recorder->dropped() >= 450 && s.recorder->dropped() <= 460);
@@ -728,25 +730,25 @@
     return folder;
 }
 
-// What a process wrote into a folder: numbers of its queries, file after file, and how many were never
-// closed.
-struct Left {
+// What a process wrote to a folder: numbers of its requests, file after file, and the number of files that
+// were not closed.
+struct FolderContents {
     std::vector<std::int64_t> numbers;
     std::size_t open = 0, files = 0;
-    std::uint64_t torn = 0;
+    std::uint64_t damaged_bytes = 0;
 };
-Left left_in(const std::string& folder) {
-    Left out;
-    for (const Disk::Kept& kept : RealDisk().list(folder)) {
+FolderContents contents_of(const std::string& folder) {
+    FolderContents out;
+    for (const Disk::FileEntry& entry : RealDisk().list(folder)) {
         std::string why;
-        const auto file = TraceFile::open(open_source(folder + "/" + kept.name, why), kept.name, why);
+        const auto file = TraceFile::open(open_source(folder + "/" + entry.name, why), entry.name, why);
         ++out.files;
-        if (!file) {  // killed before its header was whole
+        if (!file) {  // killed before its header was complete
             ++out.open;
             continue;
         }
         out.open += !file->closed();
-        for (const Torn& t : file->torn()) out.torn += t.bytes;
+        for (const DamagedRange& t : file->damaged_ranges()) out.damaged_bytes += t.bytes;
         Pool pool;
         for (const Row& row : rows_in(*file, pool))
             if (row.table == Table::queries) out.numbers.push_back(row[query_column::query]);
@@ -755,7 +757,7 @@
 }
 
 template <class Child>
-int in_a_child(Child child) {
+int run_in_child(Child child) {
     const pid_t pid = ::fork();
     assert(pid >= 0);
     if (pid == 0) {
@@ -767,15 +769,15 @@
     return status;
 }
 
-// Against a kill while files are changed over, which here is nearly all the time: whatever was written is
-// read, in order and without a gap, and one file at most was not closed.
-void a_kill_in_the_middle_of_rotation_loses_only_what_was_not_written() {
+// A kill during file rotation, which happens nearly all the time in this test: whatever was written is read,
+// in order and without a gap, and at most one file was not closed.
+void a_kill_during_rotation_loses_only_unwritten_rows() {
     for (int round = 0; round < 12; ++round) {
         const std::string folder = temporary_folder();
-        const int status = in_a_child([&] {
+        const int status = run_in_child([&] {
             RealDisk disk;
             KeepingTerms terms;
-            terms.file_bytes = 400;  // each package begins a new file
+            terms.file_bytes = 400;  // each batch starts a new file
             terms.folder_bytes = 1ULL << 40;
             terms.queue = 1000;
             Instant now{1'764'600'000'000'000};
@@ -788,28 +790,29 @@
                 recorder.add(row, now);
                 now = now + Span{1000};
                 if (n % 20 == 0) recorder.tick(now = now + terms.hand_over);
-                // Its own clock for the kill, so that it falls anywhere in what the thread does.
+                // Depends on the progress of the writer thread, so that the kill hits any of its steps.
                 if (recorder.written() > static_cast<std::uint64_t>(60 + 37 * round))
                     ::kill(::getpid(), SIGKILL);
             }
         });
         assert(WIFSIGNALED(status));
-        const Left left = left_in(folder);
-        assert(left.open <= 1 && left.files > 2 && left.numbers.size() >= 60);
-        for (std::size_t n = 0; n < left.numbers.size(); ++n)
-            assert(left.numbers[n] == static_cast<std::int64_t>(n) + 1);
+        const FolderContents contents = contents_of(folder);
+        assert(contents.open <= 1 && contents.files > 2 && contents.numbers.size() >= 60);
+        for (std::size_t n = 0; n < contents.numbers.size(); ++n)
+            assert(contents.numbers[n] == static_cast<std::int64_t>(n) + 1);
         std::filesystem::remove_all(folder);
     }
 }
 
-// The same disk that is full, by a limit on this process's files: the kernel's own short writes and errors.
-void a_limit_on_file_sizes_is_survived() {
+// A full disk, simulated by a limit on the size of files, which gives real short writes and errors of the
+// kernel.
+void a_limit_on_file_sizes_is_handled() {
     const std::string folder = temporary_folder();
-    const int status = in_a_child([&] {
+    const int status = run_in_child([&] {
         ::signal(SIGXFSZ, SIG_IGN);
         RealDisk disk;
         KeepingTerms terms;
-        terms.file_bytes = 1 << 20;  // more than may be written, so that the limit is met first
+        terms.file_bytes = 1 << 20;  // larger than the limit, so that the limit is reached first
         Instant now{1'764'600'000'000'000};
         Recorder recorder(disk, terms, folder, "g1", "1", "z", now);
         const rlimit limit{6000, RLIM_INFINITY};
@@ -839,17 +842,18 @@
         if (recorder.written() <= before || recorder.dropped() != 200) ::_exit(3);
     });
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-    const Left left = left_in(folder);
-    assert(left.open == 0 && left.torn == 0);
+    const FolderContents contents = contents_of(folder);
+    assert(contents.open == 0 && contents.damaged_bytes == 0);
     std::size_t gaps = 0;
-    for (std::size_t n = 1; n < left.numbers.size(); ++n) gaps += left.numbers[n] != left.numbers[n - 1] + 1;
+    for (std::size_t n = 1; n < contents.numbers.size(); ++n)
+        gaps += contents.numbers[n] != contents.numbers[n - 1] + 1;
     assert(gaps == 1);
     std::filesystem::remove_all(folder);
 }
 
-// A reader of a file that is still written sees whole blocks, more each time, and never a half one.
-void a_file_still_written_is_read_as_far_as_it_goes() {
-    Story s;
+// A reader of a file that is still being written sees intact blocks only, more each time.
+void a_file_being_written_is_readable() {
+    RecorderFixture s;
     s.start();
     std::size_t before = 0;
     for (int n = 0; n < 20; ++n) {
@@ -861,72 +865,73 @@
             bytes = *s.disk.files.begin()->second;
         }
         Pool pool;
-        const auto file = opened(bytes);
+        const auto file = open_bytes(bytes);
         const std::size_t rows = rows_in(*file, pool).size();
-        assert(!file->closed() && file->torn().empty() && rows == before + 30);
+        assert(!file->closed() && file->damaged_ranges().empty() && rows == before + 30);
         before = rows;
     }
 }
 
-void what_is_kept_is_decided_by_size_and_age() {
+void retention_depends_on_size_and_age() {
     KeepingTerms terms;
     terms.file_bytes = 100;
     terms.folder_bytes = 450;
-    Keeping k(terms);
-    assert(!k.begin_new(99, Span{1}) && k.begin_new(100, Span{1}) && k.begin_new(1, terms.file_age));
-    const std::vector<Disk::Kept> files{{"a", 100}, {"b", 100}, {"c", 100}, {"d", 100}, {"e", 10}};
-    assert((k.let_go(files, "e") == std::vector<std::string>{"a"}));
-    assert((k.let_go({{"a", 9000}}, "a").empty()));  // never the one that is open
-    for (const char* name : {"g1-18f3a-000001.cft", "g1-0-1000000.cft"}) assert(Keeping::is_of(name, "g1"));
+    StoragePolicy k(terms);
+    assert(!k.should_rotate(99, Span{1}) && k.should_rotate(100, Span{1}) &&
+           k.should_rotate(1, terms.file_age));
+    const std::vector<Disk::FileEntry> files{{"a", 100}, {"b", 100}, {"c", 100}, {"d", 100}, {"e", 10}};
+    assert((k.files_to_delete(files, "e") == std::vector<std::string>{"a"}));
+    assert((k.files_to_delete({{"a", 9000}}, "a").empty()));  // never the open file
+    for (const char* name : {"g1-18f3a-000001.cft", "g1-0-1000000.cft"})
+        assert(StoragePolicy::belongs_to(name, "g1"));
     for (const char* name :
          {"g1-b-18f3a-000001.cft", "g1-18f3a-000001.cft.old", "g1-18f3a-1.cft", "g1--000001.cft",
           "g11-18f3a-000001.cft", "g1-.cft", "g1-18f3a-00000x.cft", ".cft", "g1.cft"})
-        assert(!Keeping::is_of(name, "g1"));
-    assert(Keeping::is_of("g1-b-18f3a-000001.cft", "g1-b"));
-    // A dead disk is tried less and less often, and told once.
+        assert(!StoragePolicy::belongs_to(name, "g1"));
+    assert(StoragePolicy::belongs_to("g1-b-18f3a-000001.cft", "g1-b"));
+    // A dead disk is retried less and less often and reported once.
     Instant now{0};
-    assert(k.may_try(now) && k.failed(now) && !k.may_try(now));
+    assert(k.may_write(now) && k.record_failure(now) && !k.may_write(now));
     int tries = 0;
     for (int s = 0; s < 600; ++s) {
         now = now + Span{1'000'000};
-        if (!k.may_try(now)) continue;
+        if (!k.may_write(now)) continue;
         ++tries;
-        assert(!k.failed(now));
+        assert(!k.record_failure(now));
     }
     assert(tries > 10 && tries < 40);
-    assert(k.went_well() && !k.went_well() && k.may_try(now));
-    // Against a clock that steps back by an hour: the disk is tried, synced and given a new file all the
-    // same.
-    k.failed(now);
-    k.synced(now);
+    assert(k.record_success() && !k.record_success() && k.may_write(now));
+    // After a clock steps back by an hour, the disk is still retried, synced and given a new file.
+    k.record_failure(now);
+    k.record_sync(now);
     const Instant back = now - Span{3600'000'000};
-    assert(!k.may_try(now) && k.may_try(back) && !k.sync_due(now, true) && k.sync_due(back, true));
-    assert(!k.sync_due(back, false) && k.begin_new(1, back - now));
+    assert(!k.may_write(now) && k.may_write(back) && !k.sync_due(now, true) && k.sync_due(back, true));
+    assert(!k.sync_due(back, false) && k.should_rotate(1, back - now));
 }
 
 }  // namespace
 
 int main() {
-    what_is_written_is_read();
-    a_file_cut_off_anywhere_gives_its_whole_blocks();
-    flipped_bits_never_make_a_false_row();
-    unknown_columns_and_tables_are_passed_over();
+    written_rows_are_read_back();
+    a_truncated_file_yields_its_intact_blocks();
+    flipped_bits_never_yield_false_rows();
+    unknown_columns_and_tables_are_skipped();
     two_versions_are_merged();
-    times_may_do_as_they_like();
-    what_stands_in_several_files_is_written_once();
-    a_merge_holds_few_blocks();
+    unordered_times_are_handled();
+    duplicates_across_files_are_merged();
+    a_merge_loads_few_blocks();
     an_index_finds_what_a_scan_finds();
     a_sketch_keeps_its_error_and_merges_without_loss();
-    json_lines_come_back();
-    anonymised_rows_tell_nothing_but_equality();
-    a_query_is_explained_from_its_own_blocks();
-    a_cut_by_route_brings_whole_stories();
+    json_lines_round_trip();
+    anonymised_rows_preserve_only_equality();
+    a_request_is_explained_from_its_own_blocks();
+    a_cut_by_route_includes_all_rows_of_a_request();
     summaries_of_parts_add_up();
-    what_is_kept_is_decided_by_size_and_age();
+    retention_depends_on_size_and_age();
     a_gateway_writes_and_rotates_within_its_budget();
-    a_full_disk_is_told_once_and_recovers();
-    a_slow_disk_makes_no_queue_without_end();
-    a_file_still_written_is_read_as_far_as_it_goes();
-    a_kill_in_the_middle_of_rotation_loses_only_what_was_not_written();
-    a_limit_on_file_sizes_is_survived();
+    a_full_disk_is_reported_once_and_recovers();
+    the_queue_for_a_slow_disk_is_bounded();
+    a_file_being_written_is_readable();
+    a_kill_during_rotation_loses_only_unwritten_rows();
+    a_limit_on_file_sizes_is_handled();
 }
