--- a/bench/growth_bench.cpp
+++ b/bench/growth_bench.cpp
@@ -1,6 +1,6 @@
-// What a gateway needs as its fleet of model servers grows: one `copperfront node` as a process of its own,
-// model servers and clients in this one, all on loopback. Several programs and sizes are measured in turn,
-// round by round, so that their figures can be paired.
+// Measures what a gateway needs as its fleet of model servers grows: one `copperfront node` process, with
+// fake model servers and clients in this process, all on loopback. Several programs and fleet sizes are
+// measured in turn in each round, so that their figures can be paired.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr Span kMs{1000};
-constexpr Span kReadyWithin = kMs * 20000;
-constexpr Span kAnswerWithin = kMs * 4000;
+constexpr Span kReadyTimeout = kMs * 20000;
+constexpr Span kResponseTimeout = kMs * 4000;
 constexpr int kPort = 18081;
-constexpr rlim_t kDescriptors = 16384;
+constexpr rlim_t kMaxDescriptors = 16384;
 
 constexpr const char* kSettings = R"("settings":{"azs":["a","b"],"zone":"a","balancers":5,
  "models":["reader","writer"],"quantum-ms":4,
@@ -45,16 +45,15 @@
     std::size_t descriptors = 0, connections = 0, completed = 0;
 };
 
-// Of all its threads, in the scheduler's own count; that of /proc/PID/stat is of samples, which are wide of
-// the mark for a process that wakes a thousand times a second for some microseconds.
+// Returns the CPU time of all threads as counted by the scheduler. /proc/PID/stat counts by samples, which
+// are inaccurate for a process that wakes a thousand times a second for some microseconds.
 double cpu_seconds_of(pid_t process) {
     double nanoseconds = 0;
     for (const auto& thread :
          std::filesystem::directory_iterator("/proc/" + std::to_string(process) + "/task")) {
         std::ifstream file(thread.path() / "schedstat");
         double ran = 0;
-        if (!(file >> ran))
-            throw std::runtime_error("the system does not tell the processor time of threads");
+        if (!(file >> ran)) throw std::runtime_error("the system does not report the CPU time of threads");
         nanoseconds += ran;
     }
     return nanoseconds / 1e9;
@@ -81,25 +80,26 @@
         stream_ = Stream::dial(loop, to, {0, 0}, *this);
     }
     ~OneRequest() override { Stream::hand_off(loop_, std::move(stream_), false); }
-    bool completed() const { return took_.us > 0; }
-    Span took() const { return took_; }
-    const std::string& heard() const { return heard_; }
+    bool completed() const { return duration_.us > 0; }
+    Span duration() const { return duration_; }
+    const std::string& received() const { return received_; }
 
   private:
     void stream_made(Stream& stream) override { stream.send(text_); }
     void bytes_came(Stream& stream) override {
         while (stream.held() > 0) {
-            heard_.append(stream.front());
+            received_.append(stream.front());
             stream.drain(stream.front().size());
         }
-        if (took_.us == 0 && heard_.find("data: [DONE]") != std::string::npos) took_ = loop_.now() - started_;
+        if (duration_.us == 0 && received_.find("data: [DONE]") != std::string::npos)
+            duration_ = loop_.now() - started_;
     }
     void stream_closed(Stream&, Closing, const std::string&) override {}
 
     Loop& loop_;
-    std::string text_, heard_;
+    std::string text_, received_;
     Instant started_;
-    Span took_;
+    Span duration_;
     std::unique_ptr<Stream> stream_;
 };
 
@@ -125,16 +125,16 @@
         wait_until_ready();
         std::vector<std::unique_ptr<OneRequest>> requests;
         for (std::size_t n = 0; n < options_.requests; ++n) {
-            requests.push_back(std::make_unique<OneRequest>(loop_, address_, text_of(n)));
-            pass(kMs * (1000 / options_.rate));
+            requests.push_back(std::make_unique<OneRequest>(loop_, address_, request_text(n)));
+            run_loop_for(kMs * (1000 / options_.rate));
         }
-        const Instant until = loop_.now() + kAnswerWithin;
+        const Instant until = loop_.now() + kResponseTimeout;
         const auto done = [&] {
             return std::all_of(requests.begin(), requests.end(),
                                [](const auto& r) { return r->completed(); });
         };
-        while (!done() && loop_.now() < until) pass(kMs * 20);
-        check_world(requests);
+        while (!done() && loop_.now() < until) run_loop_for(kMs * 20);
+        check_gateway_served(requests);
         return figures(requests);
     }
 
@@ -154,36 +154,38 @@
         processes_.start(std::move(start));
     }
 
-    void pass(Span span) {
+    void run_loop_for(Span duration) {
         Timer timer(loop_, [this] { loop_.stop(); });
-        timer.set(span);
+        timer.set(duration);
         loop_.run();
     }
 
-    // Figures of a gateway that has not taken its list, or serves nothing, are of no use.
-    void check_world(const std::vector<std::unique_ptr<OneRequest>>& requests) const {
+    // Throws if the gateway has not taken its server list or serves nothing: its figures would be
+    // meaningless.
+    void check_gateway_served(const std::vector<std::unique_ptr<OneRequest>>& requests) const {
         const auto& lists = platform_.written_lists();
         const bool watches = !lists.empty() && !lists.back().whole;
         if (!watches)
-            throw std::runtime_error("the gateway has not taken its list: it watches for no change");
+            throw std::runtime_error(
+                "the gateway has not taken its server list: it does not watch for changes");
         const bool any = std::any_of(requests.begin(), requests.end(),
                                      [](const auto& request) { return request->completed(); });
         if (!any) throw std::runtime_error("the gateway has served no request");
     }
 
     void wait_until_ready() {
-        const Instant until = loop_.now() + kReadyWithin;
-        std::string last;
+        const Instant until = loop_.now() + kReadyTimeout;
+        std::string last_response;
         for (std::size_t n = 0; loop_.now() < until; ++n) {
-            OneRequest probe(loop_, address_, text_of(1000000 + n));
-            pass(kMs * 300);
+            OneRequest probe(loop_, address_, request_text(1000000 + n));
+            run_loop_for(kMs * 300);
             if (probe.completed()) return;
-            last = probe.heard();
+            last_response = probe.received();
         }
-        throw std::runtime_error("the gateway did not become ready; it said last: " + last);
+        throw std::runtime_error("the gateway did not become ready; its last response: " + last_response);
     }
 
-    static std::string text_of(std::size_t number) {
+    static std::string request_text(std::size_t number) {
         const std::string body =
             R"({"model":"chat","stream":true,"messages":[{"role":"user","content":"hi"}]})";
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: q" +
@@ -204,7 +206,7 @@
         result.connections = connections.size();
         std::vector<double> times;
         for (const auto& request : requests) {
-            if (request->completed()) times.push_back(request->took().ms());
+            if (request->completed()) times.push_back(request->duration().ms());
         }
         result.completed = times.size();
         if (times.empty()) return result;
@@ -245,7 +247,7 @@
 void raise_descriptor_limit() {
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
-    limit.rlim_cur = std::min(limit.rlim_max, kDescriptors);
+    limit.rlim_cur = std::min(limit.rlim_max, kMaxDescriptors);
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
--- a/bench/limit_study.cpp
+++ b/bench/limit_study.cpp
@@ -1,6 +1,6 @@
-// Two questions of docs/limits.md put to simulated fleets, each against the other answers in the same run: an
-// adaptive limit or a fixed one, and even parts of a fleet's limit or parts corrected by a gateway's own
-// share. Prints Markdown tables.
+// Answers two questions of docs/limits.md on simulated fleets, each with its alternatives in the same run: an
+// adaptive limit or a fixed one, and an even division of a fleet's limit or one that is corrected by each
+// gateway's own share. Prints Markdown tables.
 #include <cstdio>
 
 #include "limits/fleet_share.h"
@@ -10,53 +10,55 @@
 
 namespace {
 
-// ---- adaptive against fixed
+// ---- adaptive and fixed limits
 
 void adaptive_or_fixed() {
     std::printf(
         "| load | limit | settled a second | of them with a first token within 250 ms | mean | p99 |\n"
         "| --- | --- | --- | --- | --- | --- |\n");
-    struct Way {
+    struct Setting {
         const char* name;
         double fixed;
         bool adapts;
     };
     for (const double load : {0.5, 0.9, 1.2, 2.0, 3.0})
-        for (const Way& way : {Way{"none", kNoLimit, false},
-                               {"fixed at 20", 20, false},
-                               {"fixed at 40", 40, false},
-                               {"fixed at 80", 80, false},
-                               {"fixed at 160", 160, false},
-                               {"adapts", kNoLimit, true}}) {
+        for (const Setting& setting : {Setting{"none", kNoLimit, false},
+                                       {"fixed at 20", 20, false},
+                                       {"fixed at 40", 40, false},
+                                       {"fixed at 80", 80, false},
+                                       {"fixed at 160", 160, false},
+                                       {"adapts", kNoLimit, true}}) {
             RouteLimits l;
-            l.in_hand = way.fixed;
-            l.adapts = way.adapts;
-            slot_fleet::Load asked;
-            asked.of_capacity = load;
-            asked.patience = {2000000};
-            const auto seen = slot_fleet::play(l, asked);
-            std::printf("| %.1f | %s | %.0f | %.0f | %.0f ms | %.0f ms |\n", load, way.name, seen.settled,
-                        seen.good, seen.first_ms, seen.p99);
+            l.in_hand = setting.fixed;
+            l.adapts = setting.adapts;
+            slot_fleet::Load fleet_load;
+            fleet_load.of_capacity = load;
+            fleet_load.patience = {2000000};
+            const auto result = slot_fleet::play(l, fleet_load);
+            std::printf("| %.1f | %s | %.0f | %.0f | %.0f ms | %.0f ms |\n", load, setting.name,
+                        result.settled, result.good, result.first_ms, result.p99);
         }
 }
 
-// ---- parts of a fleet's limit
+// ---- division of a fleet's limit
 
 struct Fleet {
     int gateways;
-    double load;        // wanted by all, of the stated limit
-    double hot;         // part of it that comes to one gateway
-    bool hot_moves;     // to another gateway, half-way
-    double overstated;  // what reports say, of the truth
-    double others;      // load of other routes, spread evenly, of the stated limit
+    double load;        // offered to all gateways, relative to the stated limit
+    double hot;         // share of it that arrives at one gateway
+    bool hot_moves;     // to another gateway, half-way through
+    double overstated;  // reported load relative to the true load
+    double others;      // load of other routes, spread evenly, relative to the stated limit
 };
 
-struct Parted {
-    double settled = 0;  // of what could have been
-    double most = 0;     // passed in the worst second after the first five, of the stated limit
+// Result of a simulated division of the limit.
+struct DivisionResult {
+    double completed_share = 0;  // completed requests relative to those that the limit allows
+    // Admitted in the worst second after the first five, relative to the stated limit.
+    double worst_second = 0;
 };
 
-Parted parted(const Fleet& f, bool corrected) {
+DivisionResult simulate_division(const Fleet& f, bool corrected) {
     constexpr double kStated = 400;
     constexpr int kEngines = 20, kSeconds = 60;
     const auto n = static_cast<std::size_t>(f.gateways);
@@ -72,41 +74,41 @@
         gateways[g].change({{l}}, f.gateways, slot_fleet::kBegin);
     }
     std::vector<std::vector<double>> in_hand(n, std::vector<double>(kEngines));
-    std::deque<std::tuple<int, std::size_t, std::size_t>> ends;  // tick, gateway, engine
-    double passed = 0, could = 0, this_second = 0;
-    Parted out;
+    std::deque<std::tuple<int, std::size_t, std::size_t>> ends;  // tick, gateway, server
+    double admitted = 0, offered = 0, this_second = 0;
+    DivisionResult result;
     for (int tick = 0; tick < kSeconds * 100; ++tick) {
         const Instant now = slot_fleet::kBegin + Span{tick * 10000};
         while (!ends.empty() && std::get<0>(ends.front()) <= tick) {
             in_hand[std::get<1>(ends.front())][std::get<2>(ends.front())] -= 1;
             ends.pop_front();
         }
-        const std::size_t hot_one = f.hot_moves && tick >= kSeconds * 50 ? 1 : 0;
+        const std::size_t hot_gateway = f.hot_moves && tick >= kSeconds * 50 ? 1 : 0;
         double wanted = 0;
         for (std::size_t g = 0; g < n; ++g) {
-            const double part = g == hot_one ? f.hot : (1 - f.hot) / (f.gateways - 1);
-            const int came = poisson(part * f.load * kStated / 100);
+            const double share = g == hot_gateway ? f.hot : (1 - f.hot) / (f.gateways - 1);
+            const int arrived = poisson(share * f.load * kStated / 100);
             const int other = poisson(f.others * kStated / 100 / f.gateways);
-            wanted += came;
-            for (int q = 0; q < came + other; ++q) {
-                if (q < came) {
+            wanted += arrived;
+            for (int q = 0; q < arrived + other; ++q) {
+                if (q < arrived) {
                     if (gateways[g].query_came(0, 1, false, now).why != Refusal::none) continue;
                     gateways[g].query_over(0, 1, true, now);
                     this_second += 1;
-                    if (tick >= 500) passed += 1;
+                    if (tick >= 500) admitted += 1;
                 }
                 const std::size_t e = chance() % kEngines;
                 in_hand[g][e] += 1;
-                ends.emplace_back(tick + 100, g, e);  // each a second long
+                ends.emplace_back(tick + 100, g, e);  // each lasts one second
             }
         }
-        if (tick >= 500) could += wanted;
+        if (tick >= 500) offered += wanted;
         if (tick % 100 == 99) {
-            if (tick >= 600) out.most = std::max(out.most, this_second / kStated);
+            if (tick >= 600) result.worst_second = std::max(result.worst_second, this_second / kStated);
             this_second = 0;
         }
         if (!corrected || tick % 10 != 0) continue;
-        // One engine reports to each gateway, a tenth off either way.
+        // One server reports to each gateway, with an error of up to a tenth in either direction.
         for (std::size_t g = 0; g < n; ++g) {
             const std::size_t e = chance() % kEngines;
             double all = 0;
@@ -115,8 +117,8 @@
             gateways[g].part_is(shares[g].value(now));
         }
     }
-    out.settled = passed / std::min(could, kStated * (kSeconds - 5));
-    return out;
+    result.completed_share = admitted / std::min(offered, kStated * (kSeconds - 5));
+    return result;
 }
 
 void even_or_corrected() {
@@ -139,10 +141,11 @@
                            {{20, 0.8, 0.3, false, 1, 2}, "twice as much of other routes, even"},
                            {{4, 0.8, 0.5, false, 1.3, 0}, "reports say 1.3 of the truth"},
                            {{4, 2.0, 0.5, false, 0.7, 0}, "reports say 0.7 of the truth"}}) {
-        const Parted even = parted(row.fleet, false), corrected = parted(row.fleet, true);
+        const DivisionResult even = simulate_division(row.fleet, false),
+                             corrected = simulate_division(row.fleet, true);
         std::printf("| %d | %.1f | %.0f%% | %s | %.3f | %.2f | %.3f | %.2f |\n", row.fleet.gateways,
-                    row.fleet.load, row.fleet.hot * 100, row.besides, even.settled, even.most,
-                    corrected.settled, corrected.most);
+                    row.fleet.load, row.fleet.hot * 100, row.besides, even.completed_share, even.worst_second,
+                    corrected.completed_share, corrected.worst_second);
     }
 }
 
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -1,5 +1,5 @@
-// What limits cost a query, and what they are good for, against the same without them; in simulated time
-// where a fleet is needed. Not a test: figures to be read within one run.
+// Measures what limits cost per request, and their effect compared with the same load without them; a fleet
+// is simulated where one is needed. Not a test: compare figures only within one run.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -30,7 +30,7 @@
     return out;
 }
 
-RouteQuery query(std::minstd_rand& chance, std::size_t count) {
+RouteQuery random_request(std::minstd_rand& chance, std::size_t count) {
     RouteQuery q;
     q.category = static_cast<std::uint32_t>(chance() % 20);
     q.client_group = static_cast<std::uint32_t>(chance() % (count / 20 + 1));
@@ -44,17 +44,17 @@
     const auto count = static_cast<std::size_t>(state.range(0));
     const RouteTable table(routes(count));
     std::minstd_rand chance(5);
-    for (auto _ : state) benchmark::DoNotOptimize(table.find(query(chance, count)));
+    for (auto _ : state) benchmark::DoNotOptimize(table.find(random_request(chance, count)));
 }
 void scan(benchmark::State& state) {
     const auto count = static_cast<std::size_t>(state.range(0));
     const RouteTable table(routes(count));
     std::minstd_rand chance(5);
-    for (auto _ : state) benchmark::DoNotOptimize(table.scan(query(chance, count)));
+    for (auto _ : state) benchmark::DoNotOptimize(table.scan(random_request(chance, count)));
 }
 void build(benchmark::State& state) {
-    const auto all = routes(static_cast<std::size_t>(state.range(0)));
-    for (auto _ : state) benchmark::DoNotOptimize(RouteTable(all).size());
+    const auto all_routes = routes(static_cast<std::size_t>(state.range(0)));
+    for (auto _ : state) benchmark::DoNotOptimize(RouteTable(all_routes).size());
 }
 void admission(benchmark::State& state) {
     RouteLimits l;
@@ -78,9 +78,9 @@
     }
 }
 
-// A fleet that can do 400 attempts a second, of which half fail at once, in a time that a good one would
-// take; each query may have six. Queries come at 320 a second and are of use for a second. Returns the part
-// that is settled.
+// A fleet with a capacity of 400 attempts a second, of which half fail and take as long as a successful one.
+// A request may have six attempts. Requests arrive at 320 a second, and are useful for one second. Returns
+// the share of requests that complete.
 double goodput(double retry_share) {
     RouteLimits l;
     l.retry_share = retry_share;
@@ -88,33 +88,33 @@
     Admission a(1, kStart);
     a.change({{l}}, 1, kStart);
     std::minstd_rand chance(11);
-    struct Query {
-        Instant came;
+    struct Request {
+        Instant arrived_at;
         int attempts = 0;
     };
-    std::deque<Query> line;
-    double due = 0, came = 0, settled = 0, room = 0;
+    std::deque<Request> queue;
+    double due = 0, arrived = 0, completed = 0, capacity = 0;
     for (int t = 0; t < 60000; ++t) {
         const Instant now = kStart + Span{t * 1000};
         for (due += 0.32; due >= 1; due -= 1) {
-            line.push_back({now, 0});
+            queue.push_back({now, 0});
             a.first_attempt_started(0, now);
-            came += 1;
+            arrived += 1;
         }
-        for (room += 0.4; room >= 1 && !line.empty(); room -= 1) {
-            Query q = line.front();
-            line.pop_front();
-            // Work on what nobody waits for any longer is done all the same: engines cannot know.
-            const bool late = now - q.came > Span{1000000};
+        for (capacity += 0.4; capacity >= 1 && !queue.empty(); capacity -= 1) {
+            Request q = queue.front();
+            queue.pop_front();
+            // Servers also process requests whose clients no longer wait: they cannot know.
+            const bool late = now - q.arrived_at > Span{1000000};
             if (chance() % 2 == 0) {
-                settled += !late;
+                completed += !late;
             } else if (!late && ++q.attempts < 6 && a.may_attempt_again(0, now)) {
-                line.push_back(q);
+                queue.push_back(q);
             }
         }
-        room = std::min(room, 1.0);
+        capacity = std::min(capacity, 1.0);
     }
-    return settled / came;
+    return completed / arrived;
 }
 void half_fails(benchmark::State& state) {
     const double share = state.range(0) < 0 ? kNoLimit : static_cast<double>(state.range(0)) / 100;
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -1,5 +1,6 @@
-// What a gateway costs against a bare relay of the same libraries that decides nothing: both in turn, in one
-// run, on one core each, over loopback. Not a test: figures of one machine, to be compared within a run.
+// Compares the cost of a gateway with a plain relay that uses the same libraries and makes no decisions: both
+// run in turn, on one core each, over loopback. Not a test: compare figures only within one run on one
+// machine.
 #include <sched.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -25,7 +26,7 @@
 
 using rpc::Json;
 
-constexpr LinkBounds kBounds{1 << 20, 1 << 28};
+constexpr LinkBounds kLineLimits{1 << 20, 1 << 28};
 
 void pin(int core, int another = -1) {
     cpu_set_t set;
@@ -35,21 +36,22 @@
     sched_setaffinity(0, sizeof set, &set);
 }
 
-// ---- an engine that answers at once, or that paces its tokens
+// ---- a fake server that answers at once, or paces its tokens
 
-class FastEngine : public Link::Owner {
+class FastServer : public Link::Owner {
   public:
-    FastEngine(std::size_t tokens, double gap_ms, bool never_reads)
+    FastServer(std::size_t tokens, double gap_ms, bool never_answers_prefill)
         : tokens_(tokens),
           gap_{static_cast<std::int64_t>(gap_ms * 1000)},
-          never_reads_(never_reads),
-          listener_(loop_, Address::parse("127.0.0.1:0"),
-                    [this](int fd) { links_.push_back(Link::accepted(loop_, fd, kBounds, *this)); }),
-          pace_(loop_, [this] { step(); }) {}
+          never_answers_prefill_(never_answers_prefill),
+          listener_(
+              loop_, Address::parse("127.0.0.1:0"),
+              [this](int fd) { connections_.push_back(Link::accepted(loop_, fd, kLineLimits, *this)); }),
+          pace_timer_(loop_, [this] { step(); }) {}
     void run() {
         std::printf("ready %s\n", listener_.address().text().c_str());
         std::fflush(stdout);
-        if (gap_.us > 0) pace_.set(gap_);
+        if (gap_.us > 0) pace_timer_.set(gap_);
         loop_.run();
     }
     void line_came(Link& link, std::string_view line) override {
@@ -59,7 +61,7 @@
         if (m->method == rpc::kInitialize) return link.send(rpc::hello_answer_line(m->id, "fast", "1"));
         if (m->method == rpc::kPing) return link.send(rpc::result(m->id, Json::object()));
         if (m->method == rpc::kRead) {
-            if (!never_reads_) link.send(rpc::read_result_line(m->id, 0, {}));
+            if (!never_answers_prefill_) link.send(rpc::read_result_line(m->id, 0, {}));
             return;
         }
         if (gap_.us > 0) {
@@ -83,40 +85,40 @@
         link.send(rpc::tokens_line(id, std::to_string(machine_clock_us())));
     }
     void step() {
-        // Streams take their turns spread over the gap, so that tokens do not come in one lump.
+        // Streams take turns spread over the gap, so that tokens do not arrive in one burst.
         const std::int64_t now = machine_clock_us();
-        if (begun_ == 0) begun_ = now;
+        if (started_at_ == 0) started_at_ = now;
         for (Stream& s : running_) {
             token(*s.link, s.id);
             if (++s.sent == tokens_)
                 s.link->send(rpc::write_result_line(s.id, static_cast<double>(tokens_), 0, {}));
         }
         std::erase_if(running_, [&](const Stream& s) { return s.sent >= tokens_; });
-        pace_.set(gap_);
+        pace_timer_.set(gap_);
     }
     Loop loop_;
     const std::size_t tokens_;
     const Span gap_;
-    const bool never_reads_;
+    const bool never_answers_prefill_;
     Listener listener_;
-    Timer pace_;
-    std::vector<std::unique_ptr<Link>> links_;
+    Timer pace_timer_;
+    std::vector<std::unique_ptr<Link>> connections_;
     std::vector<Stream> running_;
-    std::int64_t begun_ = 0;
+    std::int64_t started_at_ = 0;
 };
 
-// ---- the bare relay: the same codec and links, no books and no decisions
+// ---- the relay: the same codec and connections, without bookkeeping and decisions
 
 class Relay : public Link::Owner {
   public:
-    Relay(const std::string& reader, const std::string& writer)
+    Relay(const std::string& prefill_server, const std::string& decode_server)
         : listener_(loop_, Address::parse("127.0.0.1:0"), [this](int fd) {
-              auto link = Link::accepted(loop_, fd, kBounds, *this);
-              callers_[link.get()] = std::move(link);
+              auto link = Link::accepted(loop_, fd, kLineLimits, *this);
+              clients_[link.get()] = std::move(link);
           }) {
         for (int n = 0; n < 4; ++n) {
-            readers_.push_back(Link::dial(loop_, Address::parse(reader), kBounds, *this));
-            writers_.push_back(Link::dial(loop_, Address::parse(writer), kBounds, *this));
+            prefill_servers_.push_back(Link::dial(loop_, Address::parse(prefill_server), kLineLimits, *this));
+            decode_servers_.push_back(Link::dial(loop_, Address::parse(decode_server), kLineLimits, *this));
         }
     }
     void run() {
@@ -148,7 +150,8 @@
             order.prompt = ask.prompt;
             order.prompt_tokens = ask.prompt_tokens;
             order.most_tokens = ask.most_tokens;
-            readers_[static_cast<std::size_t>(id) % 4]->send(rpc::order_line(rpc::Id{id}, rpc::kRead, order));
+            prefill_servers_[static_cast<std::size_t>(id) % 4]->send(
+                rpc::order_line(rpc::Id{id}, rpc::kRead, order));
         } else if (const auto* id = std::get_if<std::int64_t>(&m->id)) {
             const auto it = open_.find(*id);
             if (it == open_.end()) return;
@@ -161,7 +164,7 @@
             order.query = "q";
             order.state = "s";
             order.from = "127.0.0.1:1";
-            writers_[static_cast<std::size_t>(*id) % 4]->send(
+            decode_servers_[static_cast<std::size_t>(*id) % 4]->send(
                 rpc::order_line(rpc::Id{*id}, rpc::kWrite, order));
         }
     }
@@ -174,57 +177,61 @@
     };
     Loop loop_;
     Listener listener_;
-    std::vector<std::unique_ptr<Link>> readers_, writers_;
-    std::map<Link*, std::unique_ptr<Link>> callers_;
+    std::vector<std::unique_ptr<Link>> prefill_servers_, decode_servers_;
+    std::map<Link*, std::unique_ptr<Link>> clients_;
     std::unordered_map<std::int64_t, Open> open_;
     std::int64_t next_ = 1;
 };
 
 // ---- load
 
-struct Measured {
-    double queries_s = 0, tokens_s = 0, first_half = 0, first_99 = 0, token_half = 0, token_99 = 0;
-    std::size_t settled = 0, other = 0;
+struct LoadResult {
+    double requests_per_s = 0, tokens_per_s = 0, first_token_p50_ms = 0, first_token_p99_ms = 0,
+           token_p50_ms = 0, token_p99_ms = 0;
+    std::size_t completed = 0, failed = 0;
 };
 
 class Load : public Link::Owner {
   public:
-    // Closed loop with so many queries open, or, with a rate, open loop.
+    // A closed loop with this many open requests, or, with a rate, an open loop.
     Load(const std::string& to, std::size_t open, double rate, double seconds, std::size_t prompt_bytes,
-         double warm = 1)
-        : rate_(rate), seconds_(seconds), warm_(warm), wanted_(open), tick_(loop_, [this] { tick(); }) {
-        for (int n = 0; n < 16; ++n) links_.push_back(Link::dial(loop_, Address::parse(to), kBounds, *this));
+         double warm_up_s = 1)
+        : rate_(rate), seconds_(seconds), warm_up_s_(warm_up_s), target_open_(open), tick_(loop_, [this] {
+              tick();
+          }) {
+        for (int n = 0; n < 16; ++n)
+            connections_.push_back(Link::dial(loop_, Address::parse(to), kLineLimits, *this));
         ask_.category = "help";
         ask_.prompt =
             "[{\"type\":\"text\",\"tokens\":500,\"text\":\"" + std::string(prompt_bytes, 'x') + "\"}]";
         ask_.most_tokens = 20;
         ask_.budget = Span{60000000};
     }
-    Measured run() {
+    LoadResult run() {
         loop_.run();
-        Measured m;
+        LoadResult m;
         const double s = seconds_;
-        m.settled = settled_;
-        m.other = other_;
-        m.queries_s = static_cast<double>(settled_) / s;
-        m.tokens_s = static_cast<double>(tokens_) / s;
-        const auto at = [](std::vector<double>& v, double part) {
+        m.completed = completed_;
+        m.failed = failed_;
+        m.requests_per_s = static_cast<double>(completed_) / s;
+        m.tokens_per_s = static_cast<double>(tokens_) / s;
+        const auto at = [](std::vector<double>& v, double quantile) {
             if (v.empty()) return 0.0;
-            const auto n = static_cast<std::ptrdiff_t>(part * static_cast<double>(v.size() - 1));
+            const auto n = static_cast<std::ptrdiff_t>(quantile * static_cast<double>(v.size() - 1));
             std::nth_element(v.begin(), v.begin() + n, v.end());
             return v[static_cast<std::size_t>(n)];
         };
-        m.first_half = at(firsts_, 0.5);
-        m.first_99 = at(firsts_, 0.99);
-        m.token_half = at(delays_, 0.5);
-        m.token_99 = at(delays_, 0.99);
+        m.first_token_p50_ms = at(first_token_ms_, 0.5);
+        m.first_token_p99_ms = at(first_token_ms_, 0.99);
+        m.token_p50_ms = at(token_delays_ms_, 0.5);
+        m.token_p99_ms = at(token_delays_ms_, 0.99);
         return m;
     }
     void link_made(Link&) override {
-        if (++made_ < links_.size()) return;
-        begun_ = machine_clock_us();
+        if (++open_connections_ < connections_.size()) return;
+        started_at_ = machine_clock_us();
         if (rate_ <= 0)
-            for (std::size_t n = 0; n < wanted_; ++n) ask();
+            for (std::size_t n = 0; n < target_open_; ++n) ask();
         tick_.set(Span{1000});
     }
     void line_came(Link&, std::string_view line) override {
@@ -232,13 +239,14 @@
         if (const auto tokens = rpc::plain_tokens(line)) {
             const auto it = open_.find(tokens->id);
             if (it == open_.end()) return;
-            if (counts(now)) {
+            if (is_measured(now)) {
                 ++tokens_;
-                if (!it->second.begun) firsts_.push_back(static_cast<double>(now - it->second.at) / 1000);
-                delays_.push_back(static_cast<double>(now - std::atoll(std::string(tokens->text).c_str())) /
-                                  1000);
+                if (!it->second.has_tokens)
+                    first_token_ms_.push_back(static_cast<double>(now - it->second.at) / 1000);
+                token_delays_ms_.push_back(
+                    static_cast<double>(now - std::atoll(std::string(tokens->text).c_str())) / 1000);
             }
-            it->second.begun = true;
+            it->second.has_tokens = true;
             return;
         }
         auto parsed = rpc::parse(line);
@@ -246,7 +254,7 @@
         if (!m) return;
         const auto* id = std::get_if<std::int64_t>(&m->id);
         if (!id || open_.erase(*id) == 0) return;
-        if (counts(now)) ++(m->sort == rpc::Sort::result ? settled_ : other_);
+        if (is_measured(now)) ++(m->sort == rpc::Sort::result ? completed_ : failed_);
         if (rate_ <= 0 && now < end()) ask();
     }
     void link_closed(Link&, Closing, const std::string& what) override {
@@ -255,38 +263,41 @@
     std::size_t open() const { return open_.size(); }
 
   private:
-    std::int64_t end() const { return begun_ + static_cast<std::int64_t>((warm_ + seconds_) * 1e6); }
-    bool counts(std::int64_t now) const {
-        return now >= begun_ + static_cast<std::int64_t>(warm_ * 1e6) && now < end();
+    std::int64_t end() const {
+        return started_at_ + static_cast<std::int64_t>((warm_up_s_ + seconds_) * 1e6);
+    }
+    bool is_measured(std::int64_t now) const {
+        return now >= started_at_ + static_cast<std::int64_t>(warm_up_s_ * 1e6) && now < end();
     }
     void ask() {
         const std::int64_t id = next_++;
         open_[id] = {machine_clock_us(), false};
         ask_.session = "s" + std::to_string(id % 5000);
-        links_[static_cast<std::size_t>(id) % links_.size()]->send(rpc::ask_line(rpc::Id{id}, ask_));
+        connections_[static_cast<std::size_t>(id) % connections_.size()]->send(
+            rpc::ask_line(rpc::Id{id}, ask_));
     }
     void tick() {
         const std::int64_t now = machine_clock_us();
         if (now >= end()) return loop_.stop();
         if (rate_ > 0)
-            while (static_cast<double>(next_) < static_cast<double>(now - begun_) / 1e6 * rate_) ask();
+            while (static_cast<double>(next_) < static_cast<double>(now - started_at_) / 1e6 * rate_) ask();
         tick_.set(Span{1000});
     }
     struct Open {
         std::int64_t at;
-        bool begun;
+        bool has_tokens;
     };
     Loop loop_;
-    const double rate_, seconds_, warm_;
-    const std::size_t wanted_;
+    const double rate_, seconds_, warm_up_s_;
+    const std::size_t target_open_;
     Timer tick_;
-    std::vector<std::unique_ptr<Link>> links_;
+    std::vector<std::unique_ptr<Link>> connections_;
     rpc::Ask ask_;
-    std::size_t made_ = 0, settled_ = 0, other_ = 0;
+    std::size_t open_connections_ = 0, completed_ = 0, failed_ = 0;
     std::uint64_t tokens_ = 0;
-    std::int64_t begun_ = 0, next_ = 1;
+    std::int64_t started_at_ = 0, next_ = 1;
     std::unordered_map<std::int64_t, Open> open_;
-    std::vector<double> firsts_, delays_;
+    std::vector<double> first_token_ms_, token_delays_ms_;
 };
 
 // ---- the comparison
@@ -362,10 +373,11 @@
     std::string self, copperfront;
     double seconds = 5;
     std::vector<std::string>
-        under;  // a program that runs the gateway and counts, such as valgrind's callgrind
+        wrapper;  // a profiler command that runs the gateway, such as valgrind's callgrind
 
-    Child subject(const std::string& which, const Child& reader, const Child& writer, const Child& roster) {
-        if (which == "relay") return start({self, "relay", reader.address, writer.address}, 1);
+    Child start_subject(const std::string& which, const Child& prefill_server, const Child& decode_server,
+                        const Child& roster) {
+        if (which == "relay") return start({self, "relay", prefill_server.address, decode_server.address}, 1);
         const std::string terms =
             (std::filesystem::temp_directory_path() / ("copperfront-bench-" + std::to_string(getpid())))
                 .string();
@@ -373,92 +385,98 @@
         return start({copperfront, "gateway", terms, "--roster", roster.address, "--log-level", "error"}, 1);
     }
 
-    Child make_roster(const Child& reader, const Child& writer) {
+    Child make_roster(const Child& prefill_server, const Child& decode_server) {
         Child roster = start({copperfront, "standin", "roster"}, 0);
-        struct Teller : Link::Owner {
+        struct RosterClient : Link::Owner {
             Loop loop;
             std::string line;
             void link_made(Link& link) override { link.send(line); }
             void line_came(Link&, std::string_view) override { loop.stop(); }
             void link_closed(Link&, Closing, const std::string&) override { loop.stop(); }
-        } teller;
-        const auto news = rpc::news_json({1,
-                                          false,
-                                          {{reader.address, "r", "reader", "z", "a", 0, Standing::ready},
-                                           {writer.address, "w", "writer", "z", "a", 0, Standing::ready}}});
-        teller.line = rpc::call(rpc::Id{std::int64_t{1}}, "roster/set", {{"servers", news["servers"]}});
-        auto link = Link::dial(teller.loop, Address::parse(roster.address), kBounds, teller);
-        teller.loop.run();
+        } roster_client;
+        const auto update =
+            rpc::news_json({1,
+                            false,
+                            {{prefill_server.address, "r", "reader", "z", "a", 0, Standing::ready},
+                             {decode_server.address, "w", "writer", "z", "a", 0, Standing::ready}}});
+        roster_client.line =
+            rpc::call(rpc::Id{std::int64_t{1}}, "roster/set", {{"servers", update["servers"]}});
+        auto link =
+            Link::dial(roster_client.loop, Address::parse(roster.address), kLineLimits, roster_client);
+        roster_client.loop.run();
         return roster;
     }
 
-    void throughput(std::size_t tokens) {
+    void compare_throughput(std::size_t tokens) {
         std::printf("\n%zu tokens a query, 64 queries open, %g s\n", tokens, seconds);
         std::printf("%-8s %10s %11s %9s %9s %12s %12s\n", "", "queries/s", "tokens/s", "settled", "other",
                     "us CPU/query", "us CPU/token");
         double rate[2] = {};
         for (int which = 0; which < 2; ++which) {
-            Child engine = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
-            Child roster = make_roster(engine, engine);
-            // One process is reader and writer at two addresses to the gateway: a second engine is cheaper to
-            // tell apart.
-            Child writer = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child roster = make_roster(server, server);
+            // One process would need two addresses to be prefill and decode server to the gateway; a second
+            // process is simpler.
+            Child decode_server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
             stop(roster);
-            roster = make_roster(engine, writer);
-            Child subject_ = subject(which == 0 ? "relay" : "gateway", engine, writer, roster);
+            roster = make_roster(server, decode_server);
+            Child subject_process =
+                start_subject(which == 0 ? "relay" : "gateway", server, decode_server, roster);
             usleep(300000);
-            const double before = cpu_s(subject_.pid);
-            Load load(subject_.address, 64, 0, seconds, 400);
-            const Measured m = load.run();
-            const double cpu = (cpu_s(subject_.pid) - before) * seconds / (seconds + 1);
-            rate[which] = m.queries_s;
+            const double before = cpu_s(subject_process.pid);
+            Load load(subject_process.address, 64, 0, seconds, 400);
+            const LoadResult m = load.run();
+            const double cpu = (cpu_s(subject_process.pid) - before) * seconds / (seconds + 1);
+            rate[which] = m.requests_per_s;
             std::printf("%-8s %10.0f %11.0f %9zu %9zu %12.1f %12.2f\n", which == 0 ? "relay" : "gateway",
-                        m.queries_s, m.tokens_s, m.settled, m.other,
-                        cpu * 1e6 / static_cast<double>(m.settled),
-                        cpu * 1e6 / (static_cast<double>(m.settled) * static_cast<double>(tokens)));
-            for (Child* c : {&subject_, &engine, &writer, &roster}) stop(*c);
+                        m.requests_per_s, m.tokens_per_s, m.completed, m.failed,
+                        cpu * 1e6 / static_cast<double>(m.completed),
+                        cpu * 1e6 / (static_cast<double>(m.completed) * static_cast<double>(tokens)));
+            for (Child* c : {&subject_process, &server, &decode_server, &roster}) stop(*c);
         }
         std::printf("gateway against relay: %.2f\n", rate[1] / rate[0]);
-        half_[tokens] = rate[1] / 2;
+        half_rates_[tokens] = rate[1] / 2;
     }
 
-    void latency(std::size_t tokens) {
-        const double rate = half_[tokens];
+    void compare_latency(std::size_t tokens) {
+        const double rate = half_rates_[tokens];
         std::printf("\n%zu tokens a query at half load, %.0f queries a second\n", tokens, rate);
         std::printf("%-8s %14s %14s %14s %14s\n", "", "first p50 ms", "first p99 ms", "token p50 ms",
                     "token p99 ms");
-        Measured both[2];
+        LoadResult both[2];
         for (int which = 0; which < 2; ++which) {
-            Child reader = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
-            Child writer = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
-            Child roster = make_roster(reader, writer);
-            Child subject_ = subject(which == 0 ? "relay" : "gateway", reader, writer, roster);
+            Child prefill_server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child decode_server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child roster = make_roster(prefill_server, decode_server);
+            Child subject_process =
+                start_subject(which == 0 ? "relay" : "gateway", prefill_server, decode_server, roster);
             usleep(300000);
-            Load load(subject_.address, 0, rate, seconds, 400);
-            const Measured m = both[which] = load.run();
-            std::printf("%-8s %14.3f %14.3f %14.3f %14.3f\n", which == 0 ? "relay" : "gateway", m.first_half,
-                        m.first_99, m.token_half, m.token_99);
-            for (Child* c : {&subject_, &reader, &writer, &roster}) stop(*c);
+            Load load(subject_process.address, 0, rate, seconds, 400);
+            const LoadResult m = both[which] = load.run();
+            std::printf("%-8s %14.3f %14.3f %14.3f %14.3f\n", which == 0 ? "relay" : "gateway",
+                        m.first_token_p50_ms, m.first_token_p99_ms, m.token_p50_ms, m.token_p99_ms);
+            for (Child* c : {&subject_process, &prefill_server, &decode_server, &roster}) stop(*c);
         }
-        std::printf("%-8s %14.3f %14.3f %14.3f %14.3f\n", "added", both[1].first_half - both[0].first_half,
-                    both[1].first_99 - both[0].first_99, both[1].token_half - both[0].token_half,
-                    both[1].token_99 - both[0].token_99);
+        std::printf("%-8s %14.3f %14.3f %14.3f %14.3f\n", "added",
+                    both[1].first_token_p50_ms - both[0].first_token_p50_ms,
+                    both[1].first_token_p99_ms - both[0].first_token_p99_ms,
+                    both[1].token_p50_ms - both[0].token_p50_ms, both[1].token_p99_ms - both[0].token_p99_ms);
     }
 
-    // With and without a trace in turn, each several times, as one run differs from the next by more than a
-    // trace costs. Both may use two cores, as a gateway's machine has more than one.
-    void traced(std::size_t tokens) {
+    // Alternates runs with and without a trace, several of each, because runs differ by more than a trace
+    // costs. Both may use two cores, as a gateway's machine has more than one.
+    void compare_tracing(std::size_t tokens) {
         constexpr int kRounds = 12;
         std::vector<double> rate[2], cpu[2];
-        std::uint64_t bytes = 0, queries = 0;
+        std::uint64_t bytes = 0, requests = 0;
         for (int round = 0; round < 2 * kRounds; ++round) {
             const int which = round % 4 == 1 || round % 4 == 2;  // without, with, with, without
             const std::string folder = (std::filesystem::temp_directory_path() /
                                         ("copperfront-bench-trace-" + std::to_string(getpid())))
                                            .string();
-            Child reader = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
-            Child writer = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
-            Child roster = make_roster(reader, writer);
+            Child prefill_server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child decode_server = start({self, "engine", "--tokens", std::to_string(tokens)}, 3);
+            Child roster = make_roster(prefill_server, decode_server);
             const std::string terms =
                 (std::filesystem::temp_directory_path() / ("copperfront-bench-" + std::to_string(getpid())))
                     .string();
@@ -466,29 +484,29 @@
             std::vector<std::string> args{copperfront,    "gateway",     terms,  "--roster",
                                           roster.address, "--log-level", "error"};
             if (which == 1) args.insert(args.end(), {"--trace", folder});
-            args.insert(args.begin(), under.begin(), under.end());
+            args.insert(args.begin(), wrapper.begin(), wrapper.end());
             Child gateway = start(args, 1, 0);
             usleep(300000);
             const double before = cpu_s(gateway.pid);
             Load load(gateway.address, 64, 0, seconds, 400);
-            const Measured m = load.run();
-            rate[which].push_back(m.queries_s);
-            cpu[which].push_back((cpu_s(gateway.pid) - before) * 1e6 / static_cast<double>(m.settled) *
+            const LoadResult m = load.run();
+            rate[which].push_back(m.requests_per_s);
+            cpu[which].push_back((cpu_s(gateway.pid) - before) * 1e6 / static_cast<double>(m.completed) *
                                  seconds / (seconds + 1));
-            if (!under.empty()) {
-                // What it counted is said at an orderly end only.
+            if (!wrapper.empty()) {
+                // The profiler writes its counts only at a clean exit.
                 std::printf("%s a trace: %zu settled, process %d\n", which == 0 ? "without" : "with",
-                            m.settled, gateway.pid);
+                            m.completed, gateway.pid);
                 std::fflush(stdout);
                 kill(gateway.pid, SIGTERM);
                 waitpid(gateway.pid, nullptr, 0);
-                for (Child* c : {&reader, &writer, &roster}) stop(*c);
+                for (Child* c : {&prefill_server, &decode_server, &roster}) stop(*c);
                 if (round == 1) return;
                 continue;
             }
-            for (Child* c : {&gateway, &reader, &writer, &roster}) stop(*c);
+            for (Child* c : {&gateway, &prefill_server, &decode_server, &roster}) stop(*c);
             if (which == 0) continue;
-            queries += m.settled;
+            requests += m.completed;
             for (const auto& file : std::filesystem::directory_iterator(folder)) bytes += file.file_size();
             std::filesystem::remove_all(folder);
         }
@@ -508,44 +526,44 @@
             "with against without, pair by pair: %.3f in the middle, half of them within %.3f to %.3f; "
             "%.0f bytes a query on disk\n",
             ratios[kRounds / 2], ratios[kRounds / 4], ratios[kRounds * 3 / 4],
-            static_cast<double>(bytes) / static_cast<double>(queries));
+            static_cast<double>(bytes) / static_cast<double>(requests));
     }
 
-    void held(std::size_t queries) {
-        Child reader = start({self, "engine", "--never-reads"}, 3);
-        Child writer = start({self, "engine"}, 3);
-        Child roster = make_roster(reader, writer);
-        Child gateway = subject("gateway", reader, writer, roster);
+    void measure_waiting(std::size_t requests) {
+        Child prefill_server = start({self, "engine", "--never-reads"}, 3);
+        Child decode_server = start({self, "engine"}, 3);
+        Child roster = make_roster(prefill_server, decode_server);
+        Child gateway = start_subject("gateway", prefill_server, decode_server, roster);
         usleep(300000);
         const double before = resident_mb(gateway.pid);
-        Load load(gateway.address, queries, 0, 3, 400, 0.5);
+        Load load(gateway.address, requests, 0, 3, 400, 0.5);
         load.run();
         const double after = resident_mb(gateway.pid);
         std::printf(
             "\n%zu queries held (prompts of 400 bytes): %.1f MB more, %.2f KB a query; %zu still open\n",
-            queries, after - before, (after - before) * 1e3 / static_cast<double>(queries), load.open());
-        for (Child* c : {&gateway, &reader, &writer, &roster}) stop(*c);
+            requests, after - before, (after - before) * 1e3 / static_cast<double>(requests), load.open());
+        for (Child* c : {&gateway, &prefill_server, &decode_server, &roster}) stop(*c);
     }
 
-    void streams(std::size_t queries) {
-        Child reader = start({self, "engine"}, 3);
-        Child writer = start({self, "engine", "--tokens", "6", "--gap-ms", "1000"}, 3);
-        Child roster = make_roster(reader, writer);
-        Child gateway = subject("gateway", reader, writer, roster);
+    void measure_streams(std::size_t requests) {
+        Child prefill_server = start({self, "engine"}, 3);
+        Child decode_server = start({self, "engine", "--tokens", "6", "--gap-ms", "1000"}, 3);
+        Child roster = make_roster(prefill_server, decode_server);
+        Child gateway = start_subject("gateway", prefill_server, decode_server, roster);
         usleep(300000);
         const double before = resident_mb(gateway.pid), cpu = cpu_s(gateway.pid);
-        Load load(gateway.address, queries, 0, 12, 400, 0);
-        const Measured m = load.run();
+        Load load(gateway.address, requests, 0, 12, 400, 0);
+        const LoadResult m = load.run();
         std::printf(
             "\n%zu streams open at once, one token a second each: %zu settled, %zu otherwise, %.0f tokens a "
             "second, %.1f MB more, "
             "%.2f of a core, token p99 %.1f ms\n",
-            queries, m.settled, m.other, m.tokens_s, resident_mb(gateway.pid) - before,
-            (cpu_s(gateway.pid) - cpu) / 12, m.token_99);
-        for (Child* c : {&gateway, &reader, &writer, &roster}) stop(*c);
+            requests, m.completed, m.failed, m.tokens_per_s, resident_mb(gateway.pid) - before,
+            (cpu_s(gateway.pid) - cpu) / 12, m.token_p99_ms);
+        for (Child* c : {&gateway, &prefill_server, &decode_server, &roster}) stop(*c);
     }
 
-    std::map<std::size_t, double> half_;
+    std::map<std::size_t, double> half_rates_;
 };
 
 }  // namespace
@@ -556,16 +574,16 @@
     CLI::App app("what a gateway costs against a bare relay");
     app.require_subcommand(1);
     std::size_t tokens = 20;
-    double gap = 0;
-    bool never = false;
-    std::string reader, writer;
-    auto* engine = app.add_subcommand("engine", "an engine that answers at once");
-    engine->add_option("--tokens", tokens);
-    engine->add_option("--gap-ms", gap);
-    engine->add_flag("--never-reads", never);
+    double gap_ms = 0;
+    bool never_answers_prefill = false;
+    std::string prefill_server, decode_server;
+    auto* server = app.add_subcommand("engine", "an engine that answers at once");
+    server->add_option("--tokens", tokens);
+    server->add_option("--gap-ms", gap_ms);
+    server->add_flag("--never-reads", never_answers_prefill);
     auto* relay = app.add_subcommand("relay", "a bare relay");
-    relay->add_option("READER", reader)->required();
-    relay->add_option("WRITER", writer)->required();
+    relay->add_option("READER", prefill_server)->required();
+    relay->add_option("WRITER", decode_server)->required();
     Bench bench;
     auto* run = app.add_subcommand("run", "all measurements");
     run->add_option("COPPERFRONT", bench.copperfront)->required();
@@ -573,28 +591,28 @@
     auto* trace = app.add_subcommand("trace", "throughput with and without a trace");
     trace->add_option("COPPERFRONT", bench.copperfront)->required();
     trace->add_option("--seconds", bench.seconds);
-    trace->add_option("--under", bench.under, "run the gateway by this program");
+    trace->add_option("--under", bench.wrapper, "run the gateway by this program");
     CLI11_PARSE(app, argc, argv);
     try {
-        if (*engine) {
-            FastEngine(tokens, gap, never).run();
+        if (*server) {
+            FastServer(tokens, gap_ms, never_answers_prefill).run();
         } else if (*relay) {
-            Relay(reader, writer).run();
+            Relay(prefill_server, decode_server).run();
         } else {
             char self[4096] = {};
             if (readlink("/proc/self/exe", self, sizeof self - 1) < 0) return 1;
             bench.self = self;
             pin(2);
             if (*trace) {
-                for (const std::size_t n : {std::size_t{20}, std::size_t{200}}) bench.traced(n);
+                for (const std::size_t n : {std::size_t{20}, std::size_t{200}}) bench.compare_tracing(n);
                 return 0;
             }
             for (const std::size_t n : {std::size_t{20}, std::size_t{200}}) {
-                bench.throughput(n);
-                bench.latency(n);
+                bench.compare_throughput(n);
+                bench.compare_latency(n);
             }
-            bench.held(10000);
-            bench.streams(10000);
+            bench.measure_waiting(10000);
+            bench.measure_streams(10000);
         }
     } catch (const std::exception& trouble) {
         std::fprintf(stderr, "%s\n", trouble.what());
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -1,7 +1,7 @@
-// What a trace costs and comes to: a generated day of so many queries with their decisions, against the same
-// rows as JSON lines (plain and under zstd); cutting, summing up, finding and merging; the sketch and the
-// index against plain ones. Not a test: figures to be read within one run. The rows are drawn, the files are
-// real.
+// Measures the cost and size of a trace: a generated day of requests with their decisions, compared with the
+// same rows as JSON lines (plain and compressed by zstd); cutting, summaries, search and merging; the
+// quantile sketch and the range index compared with plain ones. Not a test: compare figures only within one
+// run. The rows are random, the files are real.
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -36,16 +36,16 @@
     return static_cast<double>(u.ru_utime.tv_sec + u.ru_stime.tv_sec) +
            static_cast<double>(u.ru_utime.tv_usec + u.ru_stime.tv_usec) / 1e6;
 }
-double most_mib() {
+double peak_memory_mib() {
     rusage u{};
     ::getrusage(RUSAGE_SELF, &u);
     return static_cast<double>(u.ru_maxrss) / 1024;
 }
 
-// Rows of a day as a gateway writes them: by time, though queries overlap.
-class InTime {
+// Returns the rows of a day as a gateway writes them: ordered by time, though requests overlap.
+class TimeOrderedRows {
   public:
-    explicit InTime(RandomDay& day) : day_(day) {}
+    explicit TimeOrderedRows(RandomDay& day) : day_(day) {}
     const Row& next() {
         std::vector<Row> rows;
         while (heap_.empty() || heap_.top().at() > day_.now()) {
@@ -66,7 +66,7 @@
     Row row_;
 };
 
-std::unique_ptr<TraceFile> opened(const std::string& path) {
+std::unique_ptr<TraceFile> open_or_exit(const std::string& path) {
     std::string why;
     auto source = open_source(path, why);
     auto file = source ? TraceFile::open(std::move(source), path, why) : nullptr;
@@ -77,105 +77,106 @@
     return file;
 }
 
-// A day of queries in one file, and its size as JSON.
-void write_day(const std::string& path, std::uint64_t queries, std::uint64_t sessions) {
+// Writes a day of requests to one file, and prints its size and that of its JSON lines.
+void write_day(const std::string& path, std::uint64_t requests, std::uint64_t sessions) {
     Pool pool;
     RandomDay day(pool, 7, "g1", 1'764'600'000'000'000,
-                  static_cast<std::int64_t>(86400e6 / static_cast<double>(queries)));
+                  static_cast<std::int64_t>(86400e6 / static_cast<double>(requests)));
     day.sessions = sessions;
-    InTime rows(day);
+    TimeOrderedRows rows(day);
     RealDisk disk;
     std::string why;
     FileWriter writer(disk.create(path, why), Header::of(kNewest, "g1.18f3a", "north", 0));
     RowSink sink(writer, pool);
     JsonLines lines(pool);
     std::string json;
-    std::uint64_t json_bytes = 0, packed_bytes = 0, count = 0;
+    std::uint64_t json_bytes = 0, compressed_bytes = 0, count = 0;
     ZSTD_CStream* stream = ZSTD_createCStream();
     ZSTD_initCStream(stream, 3);
-    std::string packed(ZSTD_CStreamOutSize(), '\0');
-    const auto pack = [&](bool last) {
+    std::string compressed(ZSTD_CStreamOutSize(), '\0');
+    const auto compress = [&](bool last) {
         ZSTD_inBuffer in{json.data(), json.size(), 0};
         for (std::size_t rest = 1; last ? rest != 0 : in.pos < in.size;) {
-            ZSTD_outBuffer out{packed.data(), packed.size(), 0};
+            ZSTD_outBuffer out{compressed.data(), compressed.size(), 0};
             rest = ZSTD_compressStream2(stream, &out, &in, last ? ZSTD_e_end : ZSTD_e_continue);
-            packed_bytes += out.pos;
+            compressed_bytes += out.pos;
         }
         json.clear();
     };
     writer.start(why);
-    double in_sink = 0;
-    std::vector<Row> some;
-    for (std::uint64_t ended = 0; ended < queries;) {
-        some.clear();
+    double sink_cpu_s = 0;
+    std::vector<Row> batch;
+    for (std::uint64_t ended = 0; ended < requests;) {
+        batch.clear();
         for (int n = 0; n < 4096; ++n) {
-            some.push_back(rows.next());
-            if (some.back().table == Table::queries && ++ended == queries) break;
+            batch.push_back(rows.next());
+            if (batch.back().table == Table::queries && ++ended == requests) break;
         }
-        count += some.size();
-        const double begun = cpu_seconds();
-        for (const Row& row : some) sink.put(row, why);
-        in_sink += cpu_seconds() - begun;
-        for (const Row& row : some) {
+        count += batch.size();
+        const double started_at = cpu_seconds();
+        for (const Row& row : batch) sink.put(row, why);
+        sink_cpu_s += cpu_seconds() - started_at;
+        for (const Row& row : batch) {
             const std::size_t before = json.size();
             lines.append(row, json);
             json += '\n';
             json_bytes += json.size() - before;
         }
-        pack(false);
+        compress(false);
     }
-    pack(true);
+    compress(true);
     ZSTD_freeCStream(stream);
-    const double begun = cpu_seconds();
+    const double started_at = cpu_seconds();
     sink.flush(why);
     writer.finish(why);
-    in_sink += cpu_seconds() - begun;
+    sink_cpu_s += cpu_seconds() - started_at;
     const double mb = 1e6;
     std::printf("## A day of %llu queries, %llu rows, %llu sessions\n\n",
-                static_cast<unsigned long long>(queries), static_cast<unsigned long long>(count),
+                static_cast<unsigned long long>(requests), static_cast<unsigned long long>(count),
                 static_cast<unsigned long long>(sessions));
     std::printf("| | MB | of the JSON lines | bytes a query |\n| --- | --- | --- | --- |\n");
     const auto line = [&](const char* name, double bytes) {
         std::printf("| %s | %.1f | %.3f | %.0f |\n", name, bytes / mb,
-                    bytes / static_cast<double>(json_bytes), bytes / static_cast<double>(queries));
+                    bytes / static_cast<double>(json_bytes), bytes / static_cast<double>(requests));
     };
     line("JSON lines", static_cast<double>(json_bytes));
-    line("JSON lines under zstd, level 3, as one stream", static_cast<double>(packed_bytes));
+    line("JSON lines under zstd, level 3, as one stream", static_cast<double>(compressed_bytes));
     line("trace", static_cast<double>(writer.size()));
     std::printf("\nPacking: %.2f us of CPU a row, %.2f a query.\n\n",
-                in_sink * 1e6 / static_cast<double>(count), in_sink * 1e6 / static_cast<double>(queries));
+                sink_cpu_s * 1e6 / static_cast<double>(count),
+                sink_cpu_s * 1e6 / static_cast<double>(requests));
 }
 
 void read_day(const std::string& path) {
     std::printf("| on that file | time |\n| --- | --- |\n");
-    double begun = seconds();
-    const auto told = [&](const std::string& what) {
-        std::printf("| %s | %.3f s |\n", what.c_str(), seconds() - begun);
-        begun = seconds();
+    double started_at = seconds();
+    const auto print_row = [&](const std::string& what) {
+        std::printf("| %s | %.3f s |\n", what.c_str(), seconds() - started_at);
+        started_at = seconds();
     };
-    const auto file = opened(path);
-    told("open, " + std::to_string(file->index().blocks.size()) + " blocks");
+    const auto file = open_or_exit(path);
+    print_row("open, " + std::to_string(file->index().blocks.size()) + " blocks");
     Pool pool;
     Wanted minute;
     minute.from = 1'764'600'000'000'000 + 12 * 3600'000'000LL;
     minute.until = minute.from + 60'000'000;
     std::uint64_t rows = 0;
     CutResult result = cut({file.get()}, minute, pool, [&](const Row&) { return ++rows > 0; });
-    told("cut of one minute: " + std::to_string(rows) + " rows from " + std::to_string(result.blocks_read) +
-         " blocks");
+    print_row("cut of one minute: " + std::to_string(rows) + " rows from " +
+              std::to_string(result.blocks_read) + " blocks");
     Summary summary(By::category);
     cut({file.get()}, {}, pool, [&](const Row& row) {
         summary.add(row, pool);
         return true;
     });
-    told("summary of all");
+    print_row("summary of all");
     const Found found = rows_of({file.get()}, {"g1.18f3a", 500000}, pool);
-    told("one query's story: " + std::to_string(found.rows.size()) + " rows from " +
-         std::to_string(found.blocks_read) + " blocks");
+    print_row("one query's story: " + std::to_string(found.rows.size()) + " rows from " +
+              std::to_string(found.blocks_read) + " blocks");
     std::string why;
     const auto scanned = TraceFile::scan(open_source(path, why), path, why);
-    told("the index found anew");
-    std::printf("\nMost memory so far: %.0f MiB.\n\n", most_mib());
+    print_row("the index found anew");
+    std::printf("\nMost memory so far: %.0f MiB.\n\n", peak_memory_mib());
 }
 
 void sketch_and_index(std::uint64_t count) {
@@ -184,13 +185,13 @@
     std::vector<double> samples;
     for (std::uint64_t n = 0; n < count; ++n) samples.push_back(draw(chance));
     Sketch sketch;
-    double begun = seconds();
+    double started_at = seconds();
     for (const double s : samples) sketch.add(s);
-    const double p99 = sketch.quantile(0.99), with_sketch = seconds() - begun;
-    begun = seconds();
+    const double p99 = sketch.quantile(0.99), with_sketch = seconds() - started_at;
+    started_at = seconds();
     std::vector<double> sorted = samples;
     std::sort(sorted.begin(), sorted.end());
-    const double truth = sorted[sorted.size() * 99 / 100], with_sort = seconds() - begun;
+    const double truth = sorted[sorted.size() * 99 / 100], with_sort = seconds() - started_at;
     std::printf("| quantiles of %llu samples | time | memory | p99 |\n| --- | --- | --- | --- |\n",
                 static_cast<unsigned long long>(count));
     std::printf("| sketch | %.3f s | %zu buckets, about %zu KB | %.1f |\n", with_sketch, sketch.buckets(),
@@ -213,37 +214,38 @@
         index.build();
         const int rounds = 2000;
         std::uint64_t hits = 0;
-        volatile std::uint64_t kept = 0;  // or the compiler would see that nobody looks
+        volatile std::uint64_t result_sink = 0;  // keeps the compiler from removing the unused searches
         double times[3];
-        for (int way = 0; way < 3; ++way) {
-            begun = seconds();
+        for (int method = 0; method < 3; ++method) {
+            started_at = seconds();
             for (int n = 0; n < rounds; ++n) {
                 const std::int64_t at =
                     static_cast<std::int64_t>(chance() % static_cast<std::uint32_t>(blocks)) * 1000;
-                if (way == 0) index.find(at, at + 500, [&](std::uint32_t) { ++hits; });
-                if (way == 1) index.scan(at, at + 500, [&](std::uint32_t) { ++hits; });
-                // The ends are not in order, so a plain map has to be walked from its beginning.
-                if (way == 2)
+                if (method == 0) index.find(at, at + 500, [&](std::uint32_t) { ++hits; });
+                if (method == 1) index.scan(at, at + 500, [&](std::uint32_t) { ++hits; });
+                // The ends are not ordered, so a plain map must be searched from its start.
+                if (method == 2)
                     for (auto it = plain.begin(); it != plain.end() && it->first <= at + 500; ++it)
                         hits += it->second >= at;
             }
-            times[way] = (seconds() - begun) / rounds * 1e9;
-            kept = hits;
+            times[method] = (seconds() - started_at) / rounds * 1e9;
+            result_sink = hits;
         }
-        (void)kept;
+        (void)result_sink;
         std::printf("| %d | %.0f ns | %.0f ns | %.0f ns |\n", blocks, times[0], times[1], times[2]);
     }
     std::printf("\n");
 }
 
-// Sixty-four gateways' files into one. In a process of its own, so that its memory is its own.
-void merge_many(const std::string& folder, std::uint64_t queries) {
+// Merges the files of 64 gateways into one. Runs in a process of its own, so that its peak memory is measured
+// alone.
+void merge_many(const std::string& folder, std::uint64_t requests) {
     std::vector<std::string> paths;
     for (int g = 0; g < 64; ++g) {
         Pool pool;
         RandomDay day(pool, static_cast<std::uint32_t>(g + 1), "g" + std::to_string(g), 1'764'600'000'000'000,
                       200000);
-        InTime rows(day);
+        TimeOrderedRows rows(day);
         RealDisk disk;
         std::string why;
         paths.push_back(folder + "/g" + std::to_string(g) + ".cft");
@@ -251,7 +253,7 @@
                           Header::of(kNewest, "g" + std::to_string(g) + ".1", "z", 0));
         RowSink sink(writer, pool);
         writer.start(why);
-        for (std::uint64_t ended = 0; ended < queries;) {
+        for (std::uint64_t ended = 0; ended < requests;) {
             const Row& row = rows.next();
             ended += row.table == Table::queries;
             sink.put(row, why);
@@ -259,12 +261,12 @@
         sink.flush(why);
         writer.finish(why);
     }
-    const double before = most_mib(), begun = seconds();
+    const double before = peak_memory_mib(), started_at = seconds();
     std::vector<std::unique_ptr<TraceFile>> files;
     std::vector<Merger::Input> inputs;
     std::uint64_t bytes = 0;
     for (const std::string& p : paths) {
-        files.push_back(opened(p));
+        files.push_back(open_or_exit(p));
         inputs.push_back({files.back().get(), 0});
         bytes += files.back()->size();
     }
@@ -282,8 +284,8 @@
     std::printf(
         "64 files of %.1f MB in all, %llu rows, merged in %.1f s; most memory %.0f MiB, of which %.0f "
         "before.\n\n",
-        static_cast<double>(bytes) / 1e6, static_cast<unsigned long long>(rows), seconds() - begun,
-        most_mib(), before);
+        static_cast<double>(bytes) / 1e6, static_cast<unsigned long long>(rows), seconds() - started_at,
+        peak_memory_mib(), before);
 }
 
 void recorder_cost(const std::string& folder) {
@@ -294,33 +296,34 @@
     Pool pool;
     RandomDay day(pool, 5);
     std::vector<Row> rows, one;
-    std::uint64_t queries = 0;
+    std::uint64_t requests = 0;
     while (rows.size() < 200000) {
         day.next(one);
-        ++queries;
+        ++requests;
         rows.insert(rows.end(), one.begin(), one.end());
     }
     Recorder recorder(disk, terms, folder, "r", "1", "z", now);
     for (std::size_t n = 1; n < pool.size(); ++n) recorder.code(pool.text(static_cast<std::int64_t>(n)));
-    const double begun = seconds();
+    const double started_at = seconds();
     for (const Row& row : rows) recorder.add(row, now);
-    const double taken = seconds() - begun;
+    const double duration_s = seconds() - started_at;
     std::printf("On the loop's thread: %.0f ns a row, %.2f us a query.\n",
-                taken * 1e9 / static_cast<double>(rows.size()), taken * 1e6 / static_cast<double>(queries));
+                duration_s * 1e9 / static_cast<double>(rows.size()),
+                duration_s * 1e6 / static_cast<double>(requests));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    const std::uint64_t queries = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
+    const std::uint64_t requests = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1000000;
     std::string folder = (std::filesystem::temp_directory_path() / "copperfront-trace-bench-XXXXXX").string();
     if (!mkdtemp(folder.data())) return 1;
-    write_day(folder + "/day.cft", queries, 50000);
+    write_day(folder + "/day.cft", requests, 50000);
     read_day(folder + "/day.cft");
     std::filesystem::remove(folder + "/day.cft");
-    write_day(folder + "/many.cft", queries, 1000000);
+    write_day(folder + "/many.cft", requests, 1000000);
     std::filesystem::remove(folder + "/many.cft");
-    sketch_and_index(queries);
+    sketch_and_index(requests);
     recorder_cost(folder);
     std::fflush(stdout);
     if (const pid_t child = ::fork(); child == 0) {
--- a/bench/watching_bench.cpp
+++ b/bench/watching_bench.cpp
@@ -1,5 +1,5 @@
-// What watching other terms costs a gateway: queries played through a desk with and without a second set of
-// rules beside it, in a fleet of this many servers. Not a test: figures to be read within one run.
+// Measures what the shadow evaluation of other terms costs a gateway: requests pass through a dispatcher with
+// and without a shadow router, in fleets of several sizes. Not a test: compare figures only within one run.
 #include <benchmark/benchmark.h>
 
 #include "../tests/desk/fake_outside.h"
@@ -10,7 +10,7 @@
 
 constexpr Span ms(std::int64_t x) { return {x * 1000}; }
 
-Terms terms(bool told) {
+Terms terms(bool reports) {
     Terms t;
     t.categories.resize(1);
     t.categories[0].latency_goal = ms(1500);
@@ -19,7 +19,7 @@
     t.max_attempts = 4;
     t.quantum = ms(4);
     t.release_within = ms(1000);
-    t.reports_memory = t.reports_unread = told;
+    t.reports_memory = t.reports_unread = reports;
     return t;
 }
 
@@ -27,8 +27,8 @@
     const auto servers = static_cast<ServerIndex>(state.range(0));
     FakeOutside outside;
     Desk desk(terms(false), outside, 7);
-    const Terms other = terms(true);
-    if (state.range(1) != 0) desk.watch(&other, 7);
+    const Terms shadow_terms = terms(true);
+    if (state.range(1) != 0) desk.watch(&shadow_terms, 7);
     std::vector<Listing> list(servers);
     for (ServerIndex s = 0; s < servers; ++s) {
         list[s].server = s;
@@ -38,21 +38,21 @@
     desk.list_arrived(list, true);
     std::uint64_t n = 0;
     for (auto _ : state) {
-        Arrival a;
-        a.prompt_tokens = 1000;
-        a.most_tokens = 100;
-        a.session = ++n % 50 + 1;
-        a.budget = ms(6000);
-        desk.query_came(desk.open(), a);
-        Outcome o;
-        o.ending = Ending::read;
-        o.report = {0.3, 1};
-        desk.attempt_ended(outside.sent.back().attempt, o);
-        QueryIndex whose = 0;
-        const AttemptId write = outside.sent.back().attempt;
-        desk.token_came(write, whose);
-        o.ending = Ending::settled;
-        desk.attempt_ended(write, o);
+        Arrival info;
+        info.prompt_tokens = 1000;
+        info.most_tokens = 100;
+        info.session = ++n % 50 + 1;
+        info.budget = ms(6000);
+        desk.query_came(desk.open(), info);
+        Outcome outcome;
+        outcome.ending = Ending::read;
+        outcome.report = {0.3, 1};
+        desk.attempt_ended(outside.sent.back().attempt, outcome);
+        QueryIndex request = 0;
+        const AttemptId decode_attempt = outside.sent.back().attempt;
+        desk.token_came(decode_attempt, request);
+        outcome.ending = Ending::settled;
+        desk.attempt_ended(decode_attempt, outcome);
         outside.clock = outside.clock + ms(5);
         desk.time_came();
         if (n % 1000 == 0) {
--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes as a call or an answer, cut at two places of their own: the same verdict, the same body, and
-// never more than the bounds allow. What is taken for a stream is cut into whole events alone.
+// Parses arbitrary bytes as a request or a response, whole and in pieces of a chosen size: the verdict and
+// the body must be the same, and never larger than the limits allow. An event stream is split into complete
+// events only.
 #include <cstdlib>
 #include <string>
 
@@ -10,35 +11,35 @@
 
 namespace {
 
-void want(bool well) {
-    if (!well) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
-struct Read {
+struct ParseResult {
     std::string body;
-    http::Trouble trouble = http::Trouble::none;
+    http::Trouble error = http::Trouble::none;
     bool done = false;
-    std::size_t taken = 0;
-    bool operator==(const Read&) const = default;
+    std::size_t consumed = 0;
+    bool operator==(const ParseResult&) const = default;
 };
 
-constexpr std::uint64_t kMostBody = 2000;
+constexpr std::uint64_t kMaxBodyBytes = 2000;
 
-Read read(http::Sort sort, std::string_view bytes, std::size_t step) {
-    Read out;
-    http::Message m(sort, {600, kMostBody}, [&](std::string_view piece) { out.body.append(piece); });
-    while (out.taken < bytes.size() && m.trouble() == http::Trouble::none && !m.done()) {
-        const std::string_view piece = bytes.substr(out.taken, step);
-        const std::size_t took = m.take(piece);
-        want(took <= piece.size());
-        out.taken += took;
-        if (took < piece.size()) break;
+ParseResult parse(http::Sort sort, std::string_view bytes, std::size_t step) {
+    ParseResult out;
+    http::Message m(sort, {600, kMaxBodyBytes}, [&](std::string_view piece) { out.body.append(piece); });
+    while (out.consumed < bytes.size() && m.trouble() == http::Trouble::none && !m.done()) {
+        const std::string_view piece = bytes.substr(out.consumed, step);
+        const std::size_t accepted = m.take(piece);
+        require(accepted <= piece.size());
+        out.consumed += accepted;
+        if (accepted < piece.size()) break;
     }
-    out.trouble = m.trouble();
+    out.error = m.trouble();
     out.done = m.done();
-    want(!(out.done && out.trouble != http::Trouble::none));
-    want(!m.done() || m.head_done());
-    want(m.trouble() == http::Trouble::none || !m.what().empty());
+    require(!(out.done && out.error != http::Trouble::none));
+    require(!m.done() || m.head_done());
+    require(m.trouble() == http::Trouble::none || !m.what().empty());
     return out;
 }
 
@@ -47,23 +48,23 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     if (size < 2) return 0;
     std::string bytes(reinterpret_cast<const char*>(data + 2), size - 2);
-    bytes += "\n\n\n\n\n\n\n\n";  // a verdict may wait for a few more bytes where they come one by one
+    bytes += "\n\n\n\n\n\n\n\n";  // bytes that arrive one by one may need a few more for a verdict
     const auto sort = data[0] % 2 ? http::Sort::call : http::Sort::answer;
-    const Read whole = read(sort, bytes, bytes.size() + 1);
-    const Read cut = read(sort, bytes, 1 + data[1] % 40);
-    want(whole.done == cut.done);
-    // Of two faults in one message, which one is met first may hang on the cut.
-    want((whole.trouble == http::Trouble::none) == (cut.trouble == http::Trouble::none));
-    if (whole.done) want(whole == cut && whole.body.size() <= kMostBody);
+    const ParseResult whole = parse(sort, bytes, bytes.size() + 1);
+    const ParseResult split = parse(sort, bytes, 1 + data[1] % 40);
+    require(whole.done == split.done);
+    // If a message has two faults, the split may decide which one is found first.
+    require((whole.error == http::Trouble::none) == (split.error == http::Trouble::none));
+    if (whole.done) require(whole == split && whole.body.size() <= kMaxBodyBytes);
 
     platform::Events events;
     std::string out, piece;
     std::size_t count = 0;
     for (std::size_t at = 0; at < bytes.size(); at += 1 + data[1] % 40) {
-        const bool well = events.take(std::string_view(bytes).substr(at, 1 + data[1] % 40), piece, count);
+        const bool is_valid = events.take(std::string_view(bytes).substr(at, 1 + data[1] % 40), piece, count);
         out += piece;
-        if (!well) break;
+        if (!is_valid) break;
     }
-    want(bytes.compare(0, out.size(), out) == 0);
+    require(bytes.compare(0, out.size(), out) == 0);
     return 0;
 }
--- a/fuzz/rpc_fuzz.cpp
+++ b/fuzz/rpc_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as a line of JSON-RPC, from a caller or from an engine: refused with a reason, or read into
-// figures that are finite and within what the wire allows. The quick way to read a token must agree with the
+// Parses arbitrary bytes as a JSON-RPC line from a client or a server: it is rejected with a reason, or its
+// numbers are finite and within the limits of the protocol. The fast parser for tokens must agree with the
 // full one.
 #include <cmath>
 #include <cstdlib>
@@ -12,8 +12,8 @@
 
 namespace {
 
-void want(bool well) {
-    if (!well) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
 }  // namespace
@@ -21,49 +21,49 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string line(reinterpret_cast<const char*>(data), size);
     auto parsed = rpc::parse(line);
-    const auto quick = rpc::plain_tokens(line);
+    const auto fast_result = rpc::plain_tokens(line);
     if (const auto* bad = std::get_if<rpc::BadMessage>(&parsed)) {
-        want(!bad->text.empty());
+        require(!bad->text.empty());
         return 0;
     }
     const auto& m = std::get<rpc::Message>(parsed);
-    if (quick) {
-        want(m.sort == rpc::Sort::notice && m.method == rpc::kTokens);
-        want(m.body.at("requestId") == quick->id && m.body.at("text") == quick->text);
+    if (fast_result) {
+        require(m.sort == rpc::Sort::notice && m.method == rpc::kTokens);
+        require(m.body.at("requestId") == fast_result->id && m.body.at("text") == fast_result->text);
     }
-    for (const bool reading : {false, true}) {
-        const Outcome o = rpc::read_outcome(m, reading);
-        want(std::isfinite(o.kept_tokens));
+    for (const bool is_prefill : {false, true}) {
+        const Outcome o = rpc::read_outcome(m, is_prefill);
+        require(std::isfinite(o.kept_tokens));
     }
     const LoadReport report = rpc::read_report(m.body);
-    want(std::isfinite(report.memory_share) && std::isfinite(report.unread_thousands));
-    // What is read of a message, written again, reads the same: nothing is lost on its way to an engine.
+    require(std::isfinite(report.memory_share) && std::isfinite(report.unread_thousands));
+    // A message that is parsed, written and parsed again is the same: nothing is lost on its way to a server.
     if (const auto ask = rpc::read_ask(m.body); std::holds_alternative<rpc::Ask>(ask)) {
         const auto& first = std::get<rpc::Ask>(ask);
-        const auto again = rpc::parse(rpc::ask_line(rpc::Id{std::int64_t{1}}, first));
-        const auto* carried = std::get_if<rpc::Message>(&again);
-        want(carried != nullptr);
-        const auto second = rpc::read_ask(carried->body);
-        want(std::holds_alternative<rpc::Ask>(second));
-        want(std::get<rpc::Ask>(second).category == first.category);
-        want(std::get<rpc::Ask>(second).budget == first.budget);
-        want(std::get<rpc::Ask>(second).attributes == first.attributes);
+        const auto reparsed = rpc::parse(rpc::ask_line(rpc::Id{std::int64_t{1}}, first));
+        const auto* reparsed_message = std::get_if<rpc::Message>(&reparsed);
+        require(reparsed_message != nullptr);
+        const auto second = rpc::read_ask(reparsed_message->body);
+        require(std::holds_alternative<rpc::Ask>(second));
+        require(std::get<rpc::Ask>(second).category == first.category);
+        require(std::get<rpc::Ask>(second).budget == first.budget);
+        require(std::get<rpc::Ask>(second).attributes == first.attributes);
     }
     if (const auto order = rpc::read_order(m.body); std::holds_alternative<rpc::Order>(order)) {
         const auto& first = std::get<rpc::Order>(order);
-        const auto again = rpc::parse(rpc::order_line(rpc::Id{std::int64_t{1}}, rpc::kWrite, first));
-        const auto* carried = std::get_if<rpc::Message>(&again);
-        want(carried != nullptr);
-        const auto second = rpc::read_order(carried->body);
-        want(std::holds_alternative<rpc::Order>(second));
-        want(std::get<rpc::Order>(second).query == first.query &&
-             std::get<rpc::Order>(second).state == first.state);
+        const auto reparsed = rpc::parse(rpc::order_line(rpc::Id{std::int64_t{1}}, rpc::kWrite, first));
+        const auto* reparsed_message = std::get_if<rpc::Message>(&reparsed);
+        require(reparsed_message != nullptr);
+        const auto second = rpc::read_order(reparsed_message->body);
+        require(std::holds_alternative<rpc::Order>(second));
+        require(std::get<rpc::Order>(second).query == first.query &&
+                std::get<rpc::Order>(second).state == first.state);
     }
     if (const auto news = rpc::read_news(m.body); std::holds_alternative<rpc::RosterNews>(news)) {
         const auto second = rpc::read_news(rpc::news_json(std::get<rpc::RosterNews>(news)));
-        want(std::holds_alternative<rpc::RosterNews>(second));
-        want(std::get<rpc::RosterNews>(second).entries.size() ==
-             std::get<rpc::RosterNews>(news).entries.size());
+        require(std::holds_alternative<rpc::RosterNews>(second));
+        require(std::get<rpc::RosterNews>(second).entries.size() ==
+                std::get<rpc::RosterNews>(news).entries.size());
     }
     rpc::read_hello(m.body);
     return 0;
--- a/fuzz/terms_fuzz.cpp
+++ b/fuzz/terms_fuzz.cpp
@@ -1,6 +1,6 @@
-// Any bytes as a terms file: refused with a fault, or accepted and then played. What is accepted must build a
-// route table that agrees with a plain scan, limits that an admission can hold, and a text of what is in
-// effect.
+// Reads arbitrary bytes as a terms file: it is rejected with a fault, or accepted and then used. Accepted
+// terms must give a route table that agrees with a linear scan, limits that an Admission can enforce, and a
+// text of the effective terms.
 #include <algorithm>
 #include <cstdlib>
 #include <random>
@@ -13,14 +13,14 @@
 
 namespace {
 
-void want(bool well) {
-    if (!well) std::abort();
+void require(bool condition) {
+    if (!condition) std::abort();
 }
 
-void play(const GatewayTerms& terms, std::uint32_t seed) {
-    want(!terms.name.empty() && !terms.routes.empty() && !terms.core.kinds.empty() &&
-         !terms.core.categories.empty());
-    want(!effective_text(terms).empty());
+void use_terms(const GatewayTerms& terms, std::uint32_t seed) {
+    require(!terms.name.empty() && !terms.routes.empty() && !terms.core.kinds.empty() &&
+            !terms.core.categories.empty());
+    require(!effective_text(terms).empty());
     std::minstd_rand chance(seed | 1);
     std::vector<RouteLimits> limits;
     for (const RouteTerms& r : terms.routes) limits.push_back(r.limits);
@@ -28,22 +28,23 @@
     admission.change(limits, terms.core.gateways, Instant{1});
     Instant now{1};
     for (int n = 0; n < 50; ++n) {
-        RouteQuery query;
-        query.category = static_cast<std::uint32_t>(chance() % terms.core.categories.size());
+        RouteQuery request;
+        request.category = static_cast<std::uint32_t>(chance() % terms.core.categories.size());
         if (terms.client_groups.size() > 0 && n % 2)
-            query.client_group = static_cast<std::uint32_t>(chance() % terms.client_groups.size());
-        query.listener = static_cast<std::uint32_t>(chance() % terms.listeners.size());
+            request.client_group = static_cast<std::uint32_t>(chance() % terms.client_groups.size());
+        request.listener = static_cast<std::uint32_t>(chance() % terms.listeners.size());
         for (std::uint32_t a = 0; a < std::min<std::size_t>(4, terms.attributes.size()); ++a)
-            if (chance() % 2) query.attributes.push_back(a);
-        query.prompt_tokens = static_cast<double>(chance() % 20000);
-        const std::uint32_t taken = terms.table.find(query);
-        want(taken == terms.table.scan(query) && taken < terms.routes.size());
+            if (chance() % 2) request.attributes.push_back(a);
+        request.prompt_tokens = static_cast<double>(chance() % 20000);
+        const std::uint32_t route = terms.table.find(request);
+        require(route == terms.table.scan(request) && route < terms.routes.size());
         now = now + Span{static_cast<std::int64_t>(chance() % 100000)};
-        if (admission.query_came(taken, query.prompt_tokens, n % 3 == 0, now).why != Refusal::none) continue;
-        want(!limits[taken].closed);
-        admission.began(taken, Span{1000}, now);
-        admission.query_over(taken, query.prompt_tokens, true, now);
-        want(admission.counts(taken).in_hand == 0);
+        if (admission.query_came(route, request.prompt_tokens, n % 3 == 0, now).why != Refusal::none)
+            continue;
+        require(!limits[route].closed);
+        admission.began(route, Span{1000}, now);
+        admission.query_over(route, request.prompt_tokens, true, now);
+        require(admission.counts(route).in_hand == 0);
     }
 }
 
@@ -54,9 +55,9 @@
     std::vector<Fault> faults;
     const std::string text(reinterpret_cast<const char*>(data), size);
     if (read_terms(text, {}, terms, faults))
-        play(terms, static_cast<std::uint32_t>(size));
+        use_terms(terms, static_cast<std::uint32_t>(size));
     else
-        want(!faults.empty());
-    for (const Fault& f : faults) want(f.line >= 0 && !f.what.empty());
+        require(!faults.empty());
+    for (const Fault& f : faults) require(f.line >= 0 && !f.what.empty());
     return 0;
 }
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -23,13 +23,13 @@
 namespace copperfront {
 namespace {
 
-// For whoever started this process and waits to know its address.
-void say_ready(const Address& address) {
+// Prints the address for the process that started this one and waits for it.
+void print_ready(const Address& address) {
     std::printf("ready %s\n", address.text().c_str());
     std::fflush(stdout);
 }
 
-std::uint32_t fresh_seed() { return std::random_device{}(); }
+std::uint32_t random_seed() { return std::random_device{}(); }
 
 void add_overrides(CLI::App& app, Overrides& o) {
     app.add_option("--name", o.name, "name of this gateway, in place of the file's");
@@ -47,9 +47,9 @@
 }
 
 int run_gateway(const std::string& file, const Overrides& overrides, std::uint32_t seed,
-                const std::string& watch) {
-    // Against a reload that comes while the gateway still starts: unhandled, the signal would end it. What it
-    // reads is new anyway.
+                const std::string& shadow_file) {
+    // A reload signal during the start would end the process if it were not ignored. The file that is read is
+    // the new one anyway.
     ::signal(SIGHUP, SIG_IGN);
     GatewayTerms terms;
     std::vector<Fault> faults;
@@ -58,36 +58,38 @@
         Log log(terms.logging.level, terms.logging.form, terms.logging.file, terms.logging.file_bytes,
                 terms.logging.files);
         Loop loop;
-        const std::uint32_t drawn = seed != 0 ? seed : fresh_seed();
-        Gateway gateway(loop, terms, drawn, log);
-        if (!watch.empty()) {
-            GatewayTerms other;
-            std::vector<Fault> wrong;
-            if (!read_terms_file(watch, overrides, other, wrong) || !gateway.watch(other, wrong, drawn))
-                return complain(text_of(watch, wrong));
+        const std::uint32_t gateway_seed = seed != 0 ? seed : random_seed();
+        Gateway gateway(loop, terms, gateway_seed, log);
+        if (!shadow_file.empty()) {
+            GatewayTerms shadow_terms;
+            std::vector<Fault> shadow_faults;
+            if (!read_terms_file(shadow_file, overrides, shadow_terms, shadow_faults) ||
+                !gateway.watch(shadow_terms, shadow_faults, gateway_seed))
+                return complain(text_of(shadow_file, shadow_faults));
         }
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { gateway.stop(); });
         loop.on_signal(SIGHUP, [&] { gateway.reload_aside(file, overrides); });
-        say_ready(gateway.address());
+        print_ready(gateway.address());
         loop.run();
-    } catch (const std::exception& trouble) {
-        return complain(trouble.what(), kBroken);
+    } catch (const std::exception& error) {
+        return complain(error.what(), kBroken);
     }
     return kWell;
 }
 
-struct EngineOptions {
+// Options of a fake model server.
+struct FakeServerOptions {
     standin::EngineShape shape;
     standin::EngineIdentity identity;
-    double warm_ms = 0, fall_ms = 0;
+    double warm_up_ms = 0, overload_window_ms = 0;
     std::string reports = "none";
 };
 
-int run_engine(const EngineOptions& o, Role role) {
+int run_fake_server(const FakeServerOptions& o, Role role) {
     standin::EngineShape shape = o.shape;
     shape.role = role;
-    shape.warm_in = {static_cast<std::int64_t>(o.warm_ms * 1000)};
-    shape.fall = {static_cast<std::int64_t>(o.fall_ms * 1000)};
+    shape.warm_in = {static_cast<std::int64_t>(o.warm_up_ms * 1000)};
+    shape.fall = {static_cast<std::int64_t>(o.overload_window_ms * 1000)};
     standin::EngineIdentity identity = o.identity;
     identity.reports = o.reports == "inline"     ? standin::Reports::inline_
                        : o.reports == "on-probe" ? standin::Reports::on_probe
@@ -97,10 +99,10 @@
         standin::EngineServer server(loop, shape, identity);
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { server.stop(); });
         std::printf("born %lld\n", static_cast<long long>(server.born_ms()));
-        say_ready(server.address());
+        print_ready(server.address());
         loop.run();
-    } catch (const std::exception& trouble) {
-        return complain(trouble.what(), kBroken);
+    } catch (const std::exception& error) {
+        return complain(error.what(), kBroken);
     }
     return kWell;
 }
@@ -112,21 +114,22 @@
     return code;
 }
 
-void add_gateway(CLI::App& app, Command& chosen) {
+void add_gateway_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("gateway", "Run a gateway with the terms in FILE until SIGTERM");
     auto file = std::make_shared<std::string>();
     auto overrides = std::make_shared<Overrides>();
     auto seed = std::make_shared<std::uint32_t>(0);
-    auto watch = std::make_shared<std::string>();
+    auto shadow_file = std::make_shared<std::string>();
     sub->add_option("FILE", *file, "terms file")->required();
     add_overrides(*sub, *overrides);
-    sub->add_option("--watch", *watch,
+    sub->add_option("--watch", *shadow_file,
                     "another terms file: count where it would decide otherwise, decide as before");
     sub->add_option("--seed", *seed, "of chance; 0: drawn at the start");
-    sub->callback([=, &chosen] { chosen = [=] { return run_gateway(*file, *overrides, *seed, *watch); }; });
+    sub->callback(
+        [=, &command] { command = [=] { return run_gateway(*file, *overrides, *seed, *shadow_file); }; });
 }
 
-void add_check(CLI::App& app, Command& chosen) {
+void add_check_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("check", "Check the terms in FILE without starting anything");
     auto file = std::make_shared<std::string>();
     auto overrides = std::make_shared<Overrides>();
@@ -135,8 +138,8 @@
     sub->add_flag("--effective", *effective,
                   "print each route's limits after inheritance, and where each comes from");
     add_overrides(*sub, *overrides);
-    sub->callback([=, &chosen] {
-        chosen = [=] {
+    sub->callback([=, &command] {
+        command = [=] {
             GatewayTerms terms;
             std::vector<Fault> faults;
             if (!read_terms_file(*file, *overrides, terms, faults)) return complain(text_of(*file, faults));
@@ -148,7 +151,7 @@
     });
 }
 
-void add_routes(CLI::App& app, Command& chosen) {
+void add_routes_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("routes", "Print which route of FILE a query takes, and why");
     auto file = std::make_shared<std::string>();
     auto overrides = std::make_shared<Overrides>();
@@ -159,41 +162,42 @@
                     "prompt=TOKENS; anything "
                     "else is an attribute");
     add_overrides(*sub, *overrides);
-    sub->callback([=, &chosen] {
-        chosen = [=] {
+    sub->callback([=, &command] {
+        command = [=] {
             GatewayTerms terms;
             std::vector<Fault> faults;
             if (!read_terms_file(*file, *overrides, terms, faults)) return complain(text_of(*file, faults));
-            RouteQuery query;
-            query.listener = 0;
+            RouteQuery route_request;
+            route_request.listener = 0;
             for (const std::string& m : *match) {
                 const std::size_t eq = m.find('=');
                 if (eq == std::string::npos) return complain("--match " + m + ": expected NAME=VALUE");
                 const std::string key = m.substr(0, eq), value = m.substr(eq + 1);
-                const auto named = [&](const Names& names, std::uint32_t& to) {
+                const auto look_up = [&](const Names& names, std::uint32_t& index) {
                     const std::uint32_t* known = names.find(value);
-                    if (known) to = *known;
+                    if (known) index = *known;
                     return known != nullptr;
                 };
-                bool well = true;
+                bool is_known = true;
                 if (key == "category")
-                    well = named(terms.categories, query.category);
+                    is_known = look_up(terms.categories, route_request.category);
                 else if (key == "client-group")
-                    well = named(terms.client_groups, query.client_group);
+                    is_known = look_up(terms.client_groups, route_request.client_group);
                 else if (key == "listener")
-                    well = named(terms.listeners, query.listener);
+                    is_known = look_up(terms.listeners, route_request.listener);
                 else if (key == "prompt")
-                    well = CLI::detail::lexical_cast(value, query.prompt_tokens) && query.prompt_tokens >= 0;
+                    is_known = CLI::detail::lexical_cast(value, route_request.prompt_tokens) &&
+                               route_request.prompt_tokens >= 0;
                 else if (const std::uint32_t* known = terms.attributes.find(m))
-                    query.attributes.push_back(*known);
-                if (!well && key == "prompt")
+                    route_request.attributes.push_back(*known);
+                if (!is_known && key == "prompt")
                     return complain("--match " + m + ": expected a number of tokens");
-                if (!well) return complain("--match " + m + ": no such " + key + " in " + *file);
+                if (!is_known) return complain("--match " + m + ": no such " + key + " in " + *file);
             }
-            std::sort(query.attributes.begin(), query.attributes.end());
-            const std::vector<std::uint32_t> fit = terms.table.all_that_fit(query);
-            for (std::size_t n = 0; n < fit.size(); ++n) {
-                const RouteTerms& r = terms.routes[fit[n]];
+            std::sort(route_request.attributes.begin(), route_request.attributes.end());
+            const std::vector<std::uint32_t> matches = terms.table.all_that_fit(route_request);
+            for (std::size_t n = 0; n < matches.size(); ++n) {
+                const RouteTerms& r = terms.routes[matches[n]];
                 std::string asks;
                 for (const std::string& a : r.asks) asks += (asks.empty() ? "" : " and ") + a;
                 std::printf("%s %s: %d conditions%s%s\n", n == 0 ? "takes" : "fits ", r.name.c_str(),
@@ -207,11 +211,11 @@
     });
 }
 
-void add_terms(CLI::App& app, Command& chosen) {
+void add_terms_command(CLI::App& app, Command& command) {
     auto* sub =
         app.add_subcommand("terms", "Print every key of a terms file with its unit, default and range");
-    sub->callback([&chosen] {
-        chosen = [] {
+    sub->callback([&command] {
+        command = [] {
             std::printf(
                 "# Terms file\n\nMade by `copperfront terms` from the table that the checks use.\n\n%s",
                 describe(terms_schema()).c_str());
@@ -220,165 +224,175 @@
     });
 }
 
-void add_standin(CLI::App& app, Command& chosen) {
+void add_fake_server_commands(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("standin", "Run a stand-in of an engine or of the roster until SIGTERM");
     sub->require_subcommand(1);
     for (const auto& [name, role] :
          {std::pair{"reader", Role::reader}, {"writer", Role::writer}, {"mixed", Role::mixed}}) {
-        auto* engine = sub->add_subcommand(name, std::string("A stand-in engine: ") + name);
-        auto o = std::make_shared<EngineOptions>();
+        auto* server_command = sub->add_subcommand(name, std::string("A stand-in engine: ") + name);
+        auto o = std::make_shared<FakeServerOptions>();
         if (role != Role::reader) o->shape.slots = 48;
-        engine->add_option("--name", o->identity.name, "its name in records")->required();
-        engine->add_option("--zone", o->identity.zone, "the zone it stands in");
-        engine->add_option("--cell", o->identity.cell, "the cell it stands in");
-        engine->add_option("--listen", o->identity.listen, "loopback address")->capture_default_str();
-        engine->add_option("--record", o->identity.record,
-                           "file for the record of its sockets; none: no record");
-        engine->add_option("--seed", o->identity.seed, "of chance")->capture_default_str();
-        engine->add_option("--reports", o->reports, "none, inline or on-probe")
+        server_command->add_option("--name", o->identity.name, "its name in records")->required();
+        server_command->add_option("--zone", o->identity.zone, "the zone it stands in");
+        server_command->add_option("--cell", o->identity.cell, "the cell it stands in");
+        server_command->add_option("--listen", o->identity.listen, "loopback address")->capture_default_str();
+        server_command->add_option("--record", o->identity.record,
+                                   "file for the record of its sockets; none: no record");
+        server_command->add_option("--seed", o->identity.seed, "of chance")->capture_default_str();
+        server_command->add_option("--reports", o->reports, "none, inline or on-probe")
             ->check(CLI::IsMember({"none", "inline", "on-probe"}))
             ->capture_default_str();
-        engine->add_option("--slots", o->shape.slots, "queries at once")->capture_default_str();
-        engine->add_option("--queue", o->shape.queue, "queries that may wait")->capture_default_str();
-        engine->add_option("--memory", o->shape.memory_tokens, "tokens")->capture_default_str();
-        engine->add_option("--kept", o->shape.kept_tokens, "tokens of texts kept")->capture_default_str();
-        engine->add_option("--read-rate", o->shape.read_per_s, "prompt tokens a second")
+        server_command->add_option("--slots", o->shape.slots, "queries at once")->capture_default_str();
+        server_command->add_option("--queue", o->shape.queue, "queries that may wait")->capture_default_str();
+        server_command->add_option("--memory", o->shape.memory_tokens, "tokens")->capture_default_str();
+        server_command->add_option("--kept", o->shape.kept_tokens, "tokens of texts kept")
             ->capture_default_str();
-        engine->add_option("--step-ms", o->shape.step_ms, "ms for a token of every stream")
+        server_command->add_option("--read-rate", o->shape.read_per_s, "prompt tokens a second")
             ->capture_default_str();
-        engine->add_option("--step-ms-per-stream", o->shape.step_ms_per_stream, "ms more for each stream")
+        server_command->add_option("--step-ms", o->shape.step_ms, "ms for a token of every stream")
             ->capture_default_str();
-        engine->add_option("--fetch-rate", o->identity.fetch_per_s, "tokens of a state moved a second")
+        server_command
+            ->add_option("--step-ms-per-stream", o->shape.step_ms_per_stream, "ms more for each stream")
             ->capture_default_str();
-        engine->add_flag("--cold", o->identity.cold, "has just started: slow at first");
-        engine->add_option("--cold-from", o->shape.cold_from, "share of its speed at the start")
+        server_command
+            ->add_option("--fetch-rate", o->identity.fetch_per_s, "tokens of a state moved a second")
             ->capture_default_str();
-        engine->add_option("--warm-ms", o->warm_ms, "until it is warm")->capture_default_str();
-        engine->add_option("--tip-multiple", o->shape.tip_multiple, "falls over past this multiple; 0: never")
+        server_command->add_flag("--cold", o->identity.cold, "has just started: slow at first");
+        server_command->add_option("--cold-from", o->shape.cold_from, "share of its speed at the start")
             ->capture_default_str();
-        engine->add_option("--fall-ms", o->fall_ms, "for this long")->capture_default_str();
-        engine->callback([o, r = role, &chosen] { chosen = [o, r] { return run_engine(*o, r); }; });
+        server_command->add_option("--warm-ms", o->warm_up_ms, "until it is warm")->capture_default_str();
+        server_command
+            ->add_option("--tip-multiple", o->shape.tip_multiple, "falls over past this multiple; 0: never")
+            ->capture_default_str();
+        server_command->add_option("--fall-ms", o->overload_window_ms, "for this long")
+            ->capture_default_str();
+        server_command->callback(
+            [o, r = role, &command] { command = [o, r] { return run_fake_server(*o, r); }; });
     }
-    add_platform_standin(*sub, chosen);
-    add_model_server(*sub, chosen);
+    add_fake_platform_command(*sub, command);
+    add_model_server_command(*sub, command);
     auto* roster = sub->add_subcommand("roster", "A stand-in roster; its list is set by the call roster/set");
     auto identity = std::make_shared<standin::RosterIdentity>();
-    auto least = std::make_shared<double>(200), most = std::make_shared<double>(1000);
+    auto min_delay_ms = std::make_shared<double>(200), max_delay_ms = std::make_shared<double>(1000);
     roster->add_option("--listen", identity->listen, "loopback address")->capture_default_str();
     roster->add_option("--record", identity->record, "file for the record of its sockets");
     roster->add_option("--seed", identity->seed, "of chance")->capture_default_str();
-    roster->add_option("--least-delay-ms", *least, "a gateway hears of a change this late at the least")
+    roster
+        ->add_option("--least-delay-ms", *min_delay_ms, "a gateway hears of a change this late at the least")
         ->capture_default_str();
-    roster->add_option("--most-delay-ms", *most, "and this late at the most")->capture_default_str();
-    roster->callback([=, &chosen] {
-        chosen = [=] {
-            identity->least_delay = {static_cast<std::int64_t>(*least * 1000)};
-            identity->most_delay = {static_cast<std::int64_t>(*most * 1000)};
+    roster->add_option("--most-delay-ms", *max_delay_ms, "and this late at the most")->capture_default_str();
+    roster->callback([=, &command] {
+        command = [=] {
+            identity->least_delay = {static_cast<std::int64_t>(*min_delay_ms * 1000)};
+            identity->most_delay = {static_cast<std::int64_t>(*max_delay_ms * 1000)};
             try {
                 Loop loop;
                 standin::RosterServer server(loop, *identity);
                 for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { server.stop(); });
-                say_ready(server.address());
+                print_ready(server.address());
                 loop.run();
-            } catch (const std::exception& trouble) {
-                return complain(trouble.what(), kBroken);
+            } catch (const std::exception& error) {
+                return complain(error.what(), kBroken);
             }
             return kWell;
         };
     });
 }
 
-void add_callers(CLI::App& app, Command& chosen) {
+void add_clients_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("callers", "The callers of one zone; started by `day`");
     sub->group("");
     auto script = std::make_shared<std::string>();
-    auto order = std::make_shared<day::CallersOrder>();
+    auto options = std::make_shared<day::ClientOptions>();
     auto gateways = std::make_shared<std::vector<std::string>>();
     sub->add_option("SCRIPT", *script)->required();
-    sub->add_option("--zone", order->zone)->required();
-    sub->add_option("--record", order->record);
-    sub->add_option("--begins-at", order->begins_at);
+    sub->add_option("--zone", options->zone)->required();
+    sub->add_option("--record", options->record);
+    sub->add_option("--begins-at", options->begins_at);
     sub->add_option("--gateway", *gateways, "NAME=ADDRESS")->required();
-    sub->callback([=, &chosen] {
-        chosen = [=] {
-            day::Script s;
+    sub->callback([=, &command] {
+        command = [=] {
+            day::Scenario s;
             GatewayTerms terms;
             std::vector<Fault> faults;
-            if (!day::read_script_file(*script, s, terms, faults)) return complain(text_of(*script, faults));
+            if (!day::read_scenario_file(*script, s, terms, faults))
+                return complain(text_of(*script, faults));
             for (const std::string& g : *gateways) {
-                const std::size_t at = g.find('=');
-                if (at == std::string::npos) return complain("--gateway " + g + ": expected NAME=ADDRESS");
-                order->gateways.emplace_back(g.substr(0, at), g.substr(at + 1));
+                const std::size_t separator = g.find('=');
+                if (separator == std::string::npos)
+                    return complain("--gateway " + g + ": expected NAME=ADDRESS");
+                options->gateways.emplace_back(g.substr(0, separator), g.substr(separator + 1));
             }
             try {
-                day::run_callers(s, terms, *order);
-            } catch (const std::exception& trouble) {
-                return complain(trouble.what(), kBroken);
+                day::run_clients(s, terms, *options);
+            } catch (const std::exception& error) {
+                return complain(error.what(), kBroken);
             }
             return kWell;
         };
     });
 }
 
-void add_day(CLI::App& app, Command& chosen) {
+void add_scenario_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("day", "Play a day over real sockets, and audit what its peers saw");
-    auto order = std::make_shared<day::RunOrder>();
-    auto json = std::make_shared<bool>(false), describe_it = std::make_shared<bool>(false);
-    sub->add_option("SCRIPT", order->script, "day script");
-    sub->add_option("--keep", order->folder,
+    auto options = std::make_shared<day::RunOptions>();
+    auto json = std::make_shared<bool>(false), print_keys = std::make_shared<bool>(false);
+    sub->add_option("SCRIPT", options->script, "day script");
+    sub->add_option("--keep", options->folder,
                     "folder for records, logs and state; none: one that is removed if all is well");
-    sub->add_option("--gateway-program", order->gateway_program, "another program in the gateway's place");
-    sub->add_option("--gateway-arg", order->gateway_args, "one more argument for each gateway");
-    sub->add_flag("--quiet", order->quiet, "no progress");
+    sub->add_option("--gateway-program", options->gateway_program, "another program in the gateway's place");
+    sub->add_option("--gateway-arg", options->gateway_args, "one more argument for each gateway");
+    sub->add_flag("--quiet", options->quiet, "no progress");
     sub->add_flag("--json", *json, "the report as JSON");
-    sub->add_flag("--keys", *describe_it, "print every key of a day script, and do nothing");
-    sub->callback([=, &chosen] {
-        chosen = [=] {
-            if (*describe_it) {
+    sub->add_flag("--keys", *print_keys, "print every key of a day script, and do nothing");
+    sub->callback([=, &command] {
+        command = [=] {
+            if (*print_keys) {
                 std::printf(
                     "# Day scripts\n\nMade by `copperfront day --keys` from the table that the checks "
                     "use.\n\n%s",
-                    describe(day::script_schema()).c_str());
+                    describe(day::scenario_schema()).c_str());
                 return kWell;
             }
-            if (order->script.empty()) return complain("day: a SCRIPT is wanted; see copperfront day --help");
-            const bool keep = !order->folder.empty();
+            if (options->script.empty())
+                return complain("day: a SCRIPT is wanted; see copperfront day --help");
+            const bool keep = !options->folder.empty();
             if (!keep)
-                order->folder =
+                options->folder =
                     (std::filesystem::temp_directory_path() / ("copperfront-day-" + std::to_string(getpid())))
                         .string();
-            order->program = std::filesystem::read_symlink("/proc/self/exe").string();
+            options->program = std::filesystem::read_symlink("/proc/self/exe").string();
             try {
-                const audit::Report report = day::play(*order);
+                const audit::Report report = day::run_scenario(*options);
                 std::printf("%s", (*json ? audit::json_of(report) + "\n" : audit::text_of(report)).c_str());
-                if (report.clean() && !keep) std::filesystem::remove_all(order->folder);
+                if (report.clean() && !keep) std::filesystem::remove_all(options->folder);
                 if (!report.clean())
-                    return complain("the day is not clean; its records are in " + order->folder, kBroken);
+                    return complain("the day is not clean; its records are in " + options->folder, kBroken);
                 return kWell;
-            } catch (const std::invalid_argument& bad) {
-                return complain(bad.what());
-            } catch (const std::exception& trouble) {
-                return complain(trouble.what(), kBroken);
+            } catch (const std::invalid_argument& error) {
+                return complain(error.what());
+            } catch (const std::exception& error) {
+                return complain(error.what(), kBroken);
             }
         };
     });
 }
 
-void add_audit(CLI::App& app, Command& chosen) {
+void add_audit_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("audit", "Check the five rules on the records of a day in DIR");
     auto folder = std::make_shared<std::string>();
     auto json = std::make_shared<bool>(false);
     sub->add_option("DIR", *folder, "folder that a day was played into")->required();
     sub->add_flag("--json", *json, "the report as JSON");
-    sub->callback([=, &chosen] {
-        chosen = [=] {
+    sub->callback([=, &command] {
+        command = [=] {
             try {
                 audit::Report report = audit::check(audit::read_history(*folder));
                 audit::add_decisions(report, *folder + "/traces");
                 std::printf("%s", (*json ? audit::json_of(report) + "\n" : audit::text_of(report)).c_str());
                 return report.clean() ? kWell : kBroken;
-            } catch (const std::exception& trouble) {
-                return complain(trouble.what());
+            } catch (const std::exception& error) {
+                return complain(error.what());
             }
         };
     });
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,5 +1,5 @@
-// The sub-commands. Each adds itself to the command line and returns what the program ends with: 0 all is
-// well, 1 a rule was broken or a run went wrong, 2 bad input or use.
+// The subcommands of the program. Each function adds one to the command line; it sets the command that then
+// runs and returns the exit code: 0 success, 1 a broken rule or a failed run, 2 invalid input or usage.
 #pragma once
 
 #include <functional>
@@ -15,21 +15,21 @@
 
 constexpr int kWell = 0, kBroken = 1, kBadUse = 2;
 
-void add_gateway(CLI::App& app, Command& chosen);
-void add_node(CLI::App& app, Command& chosen);
-void add_platform_standin(CLI::App& standins, Command& chosen);
-void add_model_server(CLI::App& standins, Command& chosen);
-void add_soak(CLI::App& app, Command& chosen);
-void add_check(CLI::App& app, Command& chosen);
-void add_routes(CLI::App& app, Command& chosen);
-void add_terms(CLI::App& app, Command& chosen);
-void add_standin(CLI::App& app, Command& chosen);
-void add_day(CLI::App& app, Command& chosen);
-void add_audit(CLI::App& app, Command& chosen);
-void add_trace(CLI::App& app, Command& chosen);
-void add_callers(CLI::App& app, Command& chosen);
-
-// One plain line on standard error.
+void add_gateway_command(CLI::App& app, Command& command);
+void add_node_command(CLI::App& app, Command& command);
+void add_fake_platform_command(CLI::App& fake_server_commands, Command& command);
+void add_model_server_command(CLI::App& fake_server_commands, Command& command);
+void add_soak_command(CLI::App& app, Command& command);
+void add_check_command(CLI::App& app, Command& command);
+void add_routes_command(CLI::App& app, Command& command);
+void add_terms_command(CLI::App& app, Command& command);
+void add_fake_server_commands(CLI::App& app, Command& command);
+void add_scenario_command(CLI::App& app, Command& command);
+void add_audit_command(CLI::App& app, Command& command);
+void add_trace(CLI::App& app, Command& command);
+void add_clients_command(CLI::App& app, Command& command);
+
+// Prints one line on standard error, and returns the code.
 int complain(const std::string& what, int code = kBadUse);
 
 }  // namespace copperfront
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -12,23 +12,23 @@
         "copperfront");
     app.set_version_flag("--version", "copperfront 0.2.0");
     app.require_subcommand(1);
-    Command chosen;
-    add_gateway(app, chosen);
-    add_node(app, chosen);
-    add_check(app, chosen);
-    add_routes(app, chosen);
-    add_terms(app, chosen);
-    add_day(app, chosen);
-    add_soak(app, chosen);
-    add_audit(app, chosen);
-    add_trace(app, chosen);
-    add_standin(app, chosen);
-    add_callers(app, chosen);
+    Command command;
+    add_gateway_command(app, command);
+    add_node_command(app, command);
+    add_check_command(app, command);
+    add_routes_command(app, command);
+    add_terms_command(app, command);
+    add_scenario_command(app, command);
+    add_soak_command(app, command);
+    add_audit_command(app, command);
+    add_trace(app, command);
+    add_fake_server_commands(app, command);
+    add_clients_command(app, command);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& trouble) {
-        const int code = app.exit(trouble);
+    } catch (const CLI::ParseError& error) {
+        const int code = app.exit(error);
         return code == 0 ? kWell : kBadUse;
     }
-    return chosen ? chosen() : kBadUse;
+    return command ? command() : kBadUse;
 }
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -20,33 +20,35 @@
 namespace copperfront {
 namespace {
 
-constexpr std::size_t kMostFile = 64 << 20;
-constexpr std::size_t kReadAtOnce = 64 << 10;
-// Buffers come and go with queries; what is freed goes back to the system, as its limit on memory counts it.
-constexpr int kTrimAt = 256 << 10, kMapAt = 64 << 10;
+constexpr std::size_t kMaxFileBytes = 64 << 20;
+constexpr std::size_t kReadChunkBytes = 64 << 10;
+// Buffers are allocated and freed with requests. Freed memory is returned to the system, since it counts
+// against the memory limit.
+constexpr int kTrimThresholdBytes = 256 << 10, kMmapThresholdBytes = 64 << 10;
 
 std::string variable(const char* name) {
     const char* value = std::getenv(name);
     return value ? value : "";
 }
 
-// Throws BadInput with the key, what was found and what is expected.
+// Throws BadInput with the key, the value and the expected form.
 void check_address(const char* key, const std::string& text) {
     try {
         Address::parse(text);
-    } catch (const NetTrouble& bad) {
-        throw platform::BadInput(std::string(key) + ": " + bad.what());
+    } catch (const NetTrouble& error) {
+        throw platform::BadInput(std::string(key) + ": " + error.what());
     }
 }
 
-// Throws BadInput past the bound, without holding more than that, or where the system stops reading.
-std::string read_whole(std::istream& file, std::size_t expected) {
+// Returns the content of the file. Throws BadInput if the file is larger than the limit, without buffering
+// much more than that, or if a read fails.
+std::string read_all(std::istream& file, std::size_t expected) {
     std::string text;
-    text.reserve(std::min(expected, kMostFile));
-    std::array<char, kReadAtOnce> piece{};
-    while (file.read(piece.data(), piece.size()), file.gcount() > 0) {
-        text.append(piece.data(), static_cast<std::size_t>(file.gcount()));
-        if (text.size() > kMostFile) throw platform::BadInput("longer than 64 MB");
+    text.reserve(std::min(expected, kMaxFileBytes));
+    std::array<char, kReadChunkBytes> chunk{};
+    while (file.read(chunk.data(), chunk.size()), file.gcount() > 0) {
+        text.append(chunk.data(), static_cast<std::size_t>(file.gcount()));
+        if (text.size() > kMaxFileBytes) throw platform::BadInput("longer than 64 MB");
     }
     if (file.bad()) throw platform::BadInput("cannot be read to its end");
     return text;
@@ -57,7 +59,7 @@
     if (!file) throw platform::BadInput("cannot be opened; expected a readable file");
     std::error_code unknown;
     const std::uintmax_t size = std::filesystem::file_size(path, unknown);
-    const std::string text = read_whole(file, unknown ? 0 : size);
+    const std::string text = read_all(file, unknown ? 0 : size);
     platform::NodeTerms terms = platform::read_node_terms(text, variable);
     check_address("listen", terms.listen);
     if (!terms.discovery.empty()) check_address("discovery", terms.discovery);
@@ -65,21 +67,21 @@
 }
 
 int run_node(std::string path, const std::string& level) {
-    // Unhandled, a reload that comes while the gateway still starts would end it. What it reads is new
-    // anyway.
+    // A reload signal during the start would end the process if it were not ignored. The file that is read is
+    // the new one anyway.
     ::signal(SIGHUP, SIG_IGN);
     mallopt(M_ARENA_MAX, 1);
-    mallopt(M_TRIM_THRESHOLD, kTrimAt);
-    mallopt(M_MMAP_THRESHOLD, kMapAt);
+    mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
+    mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
     if (path.empty()) path = variable("ROUTER_CONFIG");
     if (path.empty()) return complain("node: no file given, and ROUTER_CONFIG is not set", kBadUse);
     platform::NodeTerms terms;
     try {
         terms = read_file(path);
-    } catch (const platform::BadInput& bad) {
-        return complain(path + ": " + bad.what(), kBadUse);
+    } catch (const platform::BadInput& error) {
+        return complain(path + ": " + error.what(), kBadUse);
     }
-    // The share of descriptors is worked out from this where the file does not tell.
+    // The descriptor budget is derived from this limit where the file states none or a larger one.
     if (rlimit files{}; getrlimit(RLIMIT_NOFILE, &files) == 0 && files.rlim_cur != RLIM_INFINITY &&
                         (terms.sockets == 0 || files.rlim_cur < terms.sockets))
         terms.sockets = std::min<std::size_t>(files.rlim_cur, 1 << 16);
@@ -87,18 +89,18 @@
         Log log(level, "json", "", 0, 0);
         Loop loop;
         std::optional<Node> node;
-        // Taken before the first connection is: a signal that comes earlier waits for the loop to run.
+        // Handled before the first connection is accepted: an earlier signal waits until the loop runs.
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { node->stop(); });
-        // Signals that come together are one wish.
+        // Signals that arrive together cause one reload.
         bool reload_wanted = false;
         const auto reload = [&] {
             reload_wanted = false;
             loop.name_event("settings");
             try {
                 node->change(read_file(path));
-            } catch (const std::exception& bad) {
+            } catch (const std::exception& error) {
                 log.say(Weight::error, "node", "new terms are refused; the old ones stay",
-                        {{"error", bad.what()}});
+                        {{"error", error.what()}});
             }
         };
         loop.on_signal(SIGHUP, [&] {
@@ -106,17 +108,17 @@
         });
         try {
             node.emplace(loop, std::move(terms), log);
-        } catch (const platform::BadInput& bad) {
-            return complain(path + ": " + bad.what(), kBadUse);
+        } catch (const platform::BadInput& error) {
+            return complain(path + ": " + error.what(), kBadUse);
         }
         loop.run();
-    } catch (const std::exception& trouble) {
-        return complain(trouble.what(), kBroken);
+    } catch (const std::exception& error) {
+        return complain(error.what(), kBroken);
     }
     return kWell;
 }
 
-// A configuration that fits the stand-ins below, as the platform would hand it over.
+// Returns a configuration for the fake platform, as a real platform would provide it.
 std::string sample_terms(const standin::Platform& platform, const std::string& listen) {
     return R"({"name":"n0","listen":")" + listen + R"(","discovery":")" + platform.discovery().text() +
            R"(","seed":"1","limits":{"memory_mb":192,"sockets":1024},
@@ -133,13 +135,14 @@
 )";
 }
 
-int run_platform(const std::string& file, const std::string& listen, int readers, int writers) {
+int run_fake_platform(const std::string& file, const std::string& listen, int prefill_servers,
+                      int decode_servers) {
     try {
         Loop loop;
         standin::Platform platform(loop, {});
-        for (int n = 0; n < readers; ++n)
+        for (int n = 0; n < prefill_servers; ++n)
             platform.add("reader-" + std::to_string(n), Role::reader, "here", n % 2);
-        for (int n = 0; n < writers; ++n)
+        for (int n = 0; n < decode_servers; ++n)
             platform.add("writer-" + std::to_string(n), Role::writer, "here", n % 2);
         std::ofstream out(file);
         out << sample_terms(platform, listen);
@@ -149,31 +152,36 @@
         std::printf("ready %s\n", platform.discovery().text().c_str());
         std::fflush(stdout);
         loop.run();
-    } catch (const std::exception& trouble) {
-        return complain(trouble.what(), kBroken);
+    } catch (const std::exception& error) {
+        return complain(error.what(), kBroken);
     }
     return kWell;
 }
 
 }  // namespace
 
-void add_platform_standin(CLI::App& standins, Command& chosen) {
-    auto* sub = standins.add_subcommand(
+void add_fake_platform_command(CLI::App& fake_server_commands, Command& command) {
+    auto* sub = fake_server_commands.add_subcommand(
         "platform",
         "Stand-ins of the platform's model servers and its discovery, and a FILE for `copperfront node`");
     auto file = std::make_shared<std::string>();
     auto listen = std::make_shared<std::string>("127.0.0.1:8081");
-    auto readers = std::make_shared<int>(2), writers = std::make_shared<int>(2);
+    auto prefill_servers = std::make_shared<int>(2), decode_servers = std::make_shared<int>(2);
     sub->add_option("FILE", *file, "where the configuration for a node is written")->required();
     sub->add_option("--node-listen", *listen, "loopback address at which the node is to listen")
         ->capture_default_str();
-    sub->add_option("--readers", *readers, "how many")->check(CLI::Range(1, 100))->capture_default_str();
-    sub->add_option("--writers", *writers, "how many")->check(CLI::Range(1, 100))->capture_default_str();
-    sub->callback(
-        [=, &chosen] { chosen = [=] { return run_platform(*file, *listen, *readers, *writers); }; });
+    sub->add_option("--readers", *prefill_servers, "how many")
+        ->check(CLI::Range(1, 100))
+        ->capture_default_str();
+    sub->add_option("--writers", *decode_servers, "how many")
+        ->check(CLI::Range(1, 100))
+        ->capture_default_str();
+    sub->callback([=, &command] {
+        command = [=] { return run_fake_platform(*file, *listen, *prefill_servers, *decode_servers); };
+    });
 }
 
-void add_node(CLI::App& app, Command& chosen) {
+void add_node_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand(
         "node", "Run a gateway on the platform (HTTP) with the terms in FILE until SIGTERM");
     auto file = std::make_shared<std::string>();
@@ -182,7 +190,7 @@
     sub->add_option("--log-level", *level, "trace, debug, info, warn or error")
         ->envname("COPPERFRONT_LOG_LEVEL")
         ->check(CLI::IsMember({"trace", "debug", "info", "warn", "error"}));
-    sub->callback([=, &chosen] { chosen = [=] { return run_node(*file, *level); }; });
+    sub->callback([=, &command] { command = [=] { return run_node(*file, *level); }; });
 }
 
 }  // namespace copperfront
--- a/src/cli/soak_command.cpp
+++ b/src/cli/soak_command.cpp
@@ -16,22 +16,22 @@
 
 std::string own_program() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
 
-using FaultsMet = std::map<std::string, std::size_t>;
+using FaultCounts = std::map<std::string, std::size_t>;
 
-// A fake model server takes calls and says nothing for so long after SIGUSR1.
-constexpr Span kSilentFor{1500000};
+// After SIGUSR1 a fake model server accepts calls and answers none for this long.
+constexpr Span kSilenceTime{1500000};
 
-// Every call that the shim can make fail; a run in which one never did shows nothing of it.
+// Every call that the shim can make fail. Runs in which one of them never failed did not test its failure.
 constexpr const char* kShimmedCalls[] = {"accept4", "socket", "connect",    "readv",      "writev",
                                          "recv",    "poll",   "epoll_wait", "setsockopt", "epoll_ctl"};
 
-bool all_were_met(const FaultsMet& met) {
+bool all_faults_occurred(const FaultCounts& fault_counts) {
     bool all = true;
     std::printf("faults met:");
     for (const char* call : kShimmedCalls) {
-        const auto it = met.find(call);
-        std::printf(" %s %zu", call, it != met.end() ? it->second : 0);
-        all = all && it != met.end();
+        const auto it = fault_counts.find(call);
+        std::printf(" %s %zu", call, it != fault_counts.end() ? it->second : 0);
+        all = all && it != fault_counts.end();
     }
     std::printf("\n");
     if (!all) std::printf("a system call never failed, so its failure was not tested\n");
@@ -44,7 +44,7 @@
                                                     : options.folder;
     options.program = own_program();
     std::uint32_t failed = 0;
-    FaultsMet met;
+    FaultCounts fault_counts;
     const std::uint32_t first = options.seed;
     for (std::uint32_t seed = first; seed < first + seeds; ++seed) {
         options.seed = seed;
@@ -54,38 +54,38 @@
             const soak::Judgement judgement = soak::run_soak(options);
             std::printf("seed %u: %s", seed, judgement.text().c_str());
             failed += !judgement.well();
-            for (const auto& [call, times] : soak::faults_met(options.folder)) met[call] += times;
+            for (const auto& [call, times] : soak::faults_met(options.folder)) fault_counts[call] += times;
             if (judgement.well() && !keep) std::filesystem::remove_all(options.folder);
-        } catch (const std::exception& trouble) {
-            std::printf("seed %u: %s\n", seed, trouble.what());
+        } catch (const std::exception& error) {
+            std::printf("seed %u: %s\n", seed, error.what());
             ++failed;
         }
         std::fflush(stdout);
     }
-    const bool all_met = options.shim.empty() || all_were_met(met);
+    const bool all_occurred = options.shim.empty() || all_faults_occurred(fault_counts);
     std::printf("%u passed, %u failed\n", seeds - failed, failed);
-    return failed == 0 && all_met ? kWell : kBroken;
+    return failed == 0 && all_occurred ? kWell : kBroken;
 }
 
 int run_model_server(const soak::ModelServerOptions& options) {
     try {
         Loop loop;
         soak::ModelServer server(loop, options);
-        loop.on_signal(SIGUSR1, [&] { server.fall_silent(kSilentFor); });
+        loop.on_signal(SIGUSR1, [&] { server.fall_silent(kSilenceTime); });
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { loop.stop(); });
         std::printf("ready %s\n", server.address().text().c_str());
         std::fflush(stdout);
         loop.run();
-    } catch (const std::exception& trouble) {
-        return complain(trouble.what(), kBroken);
+    } catch (const std::exception& error) {
+        return complain(error.what(), kBroken);
     }
     return kWell;
 }
 
 }  // namespace
 
-void add_model_server(CLI::App& standins, Command& chosen) {
-    auto* sub = standins.add_subcommand(
+void add_model_server_command(CLI::App& fake_server_commands, Command& command) {
+    auto* sub = fake_server_commands.add_subcommand(
         "model-server",
         "One fake model server of the platform as a process of its own, with faults at random");
     auto options = std::make_shared<soak::ModelServerOptions>();
@@ -99,15 +99,15 @@
     sub->add_option("--faults", options->fault_share, "share of the calls that meet a fault")
         ->check(CLI::Range(0.0, 1.0))
         ->capture_default_str();
-    sub->callback([=, &chosen] {
-        chosen = [=] {
+    sub->callback([=, &command] {
+        command = [=] {
             options->role = *role == "prefill" ? Role::reader : Role::writer;
             return run_model_server(*options);
         };
     });
 }
 
-void add_soak(CLI::App& app, Command& chosen) {
+void add_soak_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand(
         "soak",
         "Run gateways and fake model servers as processes under random faults, and judge what was seen");
@@ -144,7 +144,7 @@
     sub->add_option("--log-level", options->log_level, "of gateways")->capture_default_str();
     sub->add_option("--folder", options->folder, "for logs and records; by default a temporary one");
     sub->add_flag("--keep", *keep, "keep the files of runs that passed as well");
-    sub->callback([=, &chosen] { chosen = [=] { return run_soaks(*options, *seeds, *keep); }; });
+    sub->callback([=, &command] { command = [=] { return run_soaks(*options, *seeds, *keep); }; });
 }
 
 }  // namespace copperfront
--- a/src/day/callers.h
+++ b/src/day/callers.h
@@ -1,5 +1,6 @@
-// The callers of one zone: open loop, arrivals drawn ahead, each with sessions, shared beginnings, patience
-// and repeats of its own; and misfits that break the protocol. All that crosses their sockets is recorded.
+// Load generator of one zone: an open-loop load whose arrival times are drawn in advance, with sessions,
+// shared prefixes, client timeouts and repeats; and clients that break the protocol. Records what crosses
+// their sockets.
 #pragma once
 
 #include <memory>
@@ -10,13 +11,14 @@
 
 namespace copperfront::day {
 
-struct CallersOrder {
+struct ClientOptions {
     std::string zone, record;
-    std::vector<std::pair<std::string, std::string>> gateways;  // name and address, of this zone
-    std::int64_t begins_at = 0;  // microseconds of the machine's monotonic clock
+    std::vector<std::pair<std::string, std::string>>
+        gateways;                // name and address of each gateway of this zone
+    std::int64_t begins_at = 0;  // microseconds of the monotonic clock
 };
 
-// Runs the zone's part of the day to its end. Throws std::runtime_error where it cannot.
-void run_callers(const Script& script, const GatewayTerms& terms, const CallersOrder& order);
+// Runs the clients of the zone until the scenario ends. Throws std::runtime_error if it cannot run.
+void run_clients(const Scenario& scenario, const GatewayTerms& terms, const ClientOptions& options);
 
 }  // namespace copperfront::day
--- a/src/day/process.cpp
+++ b/src/day/process.cpp
@@ -17,18 +17,18 @@
 namespace copperfront::day {
 
 struct Processes::Process {
-    Start what;
+    Start options;
     pid_t pid = -1;
     bufferevent* out = nullptr;
     ~Process() {
         if (out) bufferevent_free(out);
     }
-    void read() {
+    void read_output() {
         evbuffer* in = bufferevent_get_input(out);
         while (char* line = evbuffer_readln(in, nullptr, EVBUFFER_EOL_LF)) {
             const std::string text(line);
             free(line);
-            if (what.said) what.said(text);
+            if (options.said) options.said(text);
         }
     }
 };
@@ -44,16 +44,17 @@
     }
 }
 
-void Processes::start(Start what) {
+void Processes::start(Start options) {
     int pipe[2];
     if (::pipe2(pipe, O_CLOEXEC) != 0) throw std::runtime_error(std::string("pipe: ") + std::strerror(errno));
     std::vector<char*> argv;
-    argv.push_back(const_cast<char*>(what.program.c_str()));
-    for (const std::string& arg : what.args) argv.push_back(const_cast<char*>(arg.c_str()));
+    argv.push_back(const_cast<char*>(options.program.c_str()));
+    for (const std::string& arg : options.args) argv.push_back(const_cast<char*>(arg.c_str()));
     argv.push_back(nullptr);
     std::vector<char*> environment;
     for (char** variable = environ; *variable != nullptr; ++variable) environment.push_back(*variable);
-    for (const std::string& more : what.environment) environment.push_back(const_cast<char*>(more.c_str()));
+    for (const std::string& more : options.environment)
+        environment.push_back(const_cast<char*>(more.c_str()));
     environment.push_back(nullptr);
     const pid_t parent = ::getpid();
     const pid_t pid = ::fork();
@@ -63,39 +64,39 @@
         throw std::runtime_error(std::string("fork: ") + std::strerror(errno));
     }
     if (pid == 0) {
-        // Only calls that are safe after a fork.
+        // Only async-signal-safe calls are allowed between fork and exec.
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
         if (::getppid() != parent) ::_exit(127);
         sigset_t none;
         sigemptyset(&none);
         ::sigprocmask(SIG_SETMASK, &none, nullptr);
         ::dup2(pipe[1], 1);
-        if (!what.errors.empty()) {
-            const int fd = ::open(what.errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+        if (!options.errors.empty()) {
+            const int fd = ::open(options.errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
             if (fd >= 0) ::dup2(fd, 2);
         }
         // A socket that a child inherits would stay open when this process closes it.
         ::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
-        ::execve(what.program.c_str(), argv.data(), environment.data());
+        ::execve(options.program.c_str(), argv.data(), environment.data());
         ::_exit(127);
     }
     ::close(pipe[1]);
     auto process = std::make_unique<Process>();
     process->pid = pid;
-    process->what = std::move(what);
+    process->options = std::move(options);
     ::fcntl(pipe[0], F_SETFL, O_NONBLOCK);
     process->out = bufferevent_socket_new(loop_.base(), pipe[0], BEV_OPT_CLOSE_ON_FREE);
     bufferevent_setcb(
-        process->out, [](bufferevent*, void* self) { static_cast<Process*>(self)->read(); }, nullptr,
+        process->out, [](bufferevent*, void* self) { static_cast<Process*>(self)->read_output(); }, nullptr,
         [](bufferevent* b, short, void*) { bufferevent_disable(b, EV_READ); }, process.get());
     bufferevent_enable(process->out, EV_READ);
-    const std::string name = process->what.name;
+    const std::string name = process->options.name;
     by_name_[name] = std::move(process);
 }
 
-bool Processes::signal(const std::string& name, int which) {
+bool Processes::signal(const std::string& name, int number) {
     const auto it = by_name_.find(name);
-    return it != by_name_.end() && ::kill(it->second->pid, which) == 0;
+    return it != by_name_.end() && ::kill(it->second->pid, number) == 0;
 }
 
 pid_t Processes::id_of(const std::string& name) const {
@@ -112,9 +113,9 @@
         }
         const std::shared_ptr<Process> ended(it->second.release());
         it = by_name_.erase(it);
-        // May start it again, which changes the map.
+        // Deferred: the callback may start the process again, which changes the map.
         loop_.post([ended, status] {
-            if (ended->what.ended) ended->what.ended(status);
+            if (ended->options.ended) ended->options.ended(status);
         });
     }
 }
--- a/src/day/process.h
+++ b/src/day/process.h
@@ -1,4 +1,4 @@
-// Processes that the runner starts, of its own program, and ends by their ids. None outlives the runner.
+// Child processes that the runner starts and ends by their process ids. None outlives the runner.
 #pragma once
 
 #include <sys/types.h>
@@ -15,25 +15,26 @@
 
 namespace copperfront::day {
 
+// The running child processes by name.
 class Processes {
   public:
     explicit Processes(Loop& loop);
-    ~Processes();  // kills what is left
+    ~Processes();  // kills the processes that still run
 
     struct Start {
         std::string name, program;
         std::vector<std::string> args;
-        std::vector<std::string> environment;               // NAME=VALUE, beside this process's own
-        std::string errors;                                 // file that takes its standard error
-        std::function<void(const std::string& line)> said;  // each line of its standard output
-        std::function<void(int status)> ended;              // as of waitpid; the process may be started again
+        std::vector<std::string> environment;               // NAME=VALUE, added to this process's own
+        std::string errors;                                 // file that receives its standard error
+        std::function<void(const std::string& line)> said;  // called with each line of its standard output
+        std::function<void(int status)> ended;  // called with the status of waitpid; may start it again
     };
-    // Throws std::runtime_error where it cannot be started.
-    void start(Start what);
+    // Throws std::runtime_error if the process cannot be started.
+    void start(Start options);
     bool runs(const std::string& name) const { return by_name_.count(name) != 0; }
-    // False: there is no such process.
-    bool signal(const std::string& name, int which);
-    // Its process id; -1: there is no such process.
+    // Sends the signal; returns false if there is no such process.
+    bool signal(const std::string& name, int number);
+    // Returns the process id, or -1 if there is no such process.
     pid_t id_of(const std::string& name) const;
     std::size_t count() const { return by_name_.size(); }
 
--- a/src/day/runner.h
+++ b/src/day/runner.h
@@ -1,5 +1,5 @@
-// Plays a day: starts every process of the script, lets the troubles happen in their time, ends all in good
-// order, and has the records audited.
+// Runs a scenario: starts every process of the script, injects the faults at their times, stops all processes
+// in order, and audits the records.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,17 @@
 
 namespace copperfront::day {
 
-struct RunOrder {
+struct RunOptions {
     std::string script;                     // path
-    std::string folder;                     // for records, logs and state; must be empty or not be there yet
-    std::string program;                    // this program
-    std::string gateway_program;            // in its place for gateways; empty: the same
-    std::vector<std::string> gateway_args;  // more for each gateway
+    std::string folder;                     // for records, logs and state; must be empty or not exist
+    std::string program;                    // path of this program
+    std::string gateway_program;            // another program for gateways; empty: this program
+    std::vector<std::string> gateway_args;  // additional arguments of each gateway
     bool quiet = false;
 };
 
-// Throws std::runtime_error where the day cannot be played; `faults` of the script are reported that way too.
-audit::Report play(const RunOrder& order);
+// Throws std::runtime_error if the scenario cannot be run, and std::invalid_argument if the script has faults
+// or the folder is not empty.
+audit::Report run_scenario(const RunOptions& options);
 
 }  // namespace copperfront::day
--- a/src/day/script.h
+++ b/src/day/script.h
@@ -1,4 +1,5 @@
-// A day's script: fleet, callers and troubles by time, as S-expressions. Read and checked as a whole.
+// A scenario: the fleet, the clients, and the faults with their times. It is read from a script of
+// S-expressions, which is checked as a whole.
 #pragma once
 
 #include <cstdint>
@@ -10,59 +11,69 @@
 
 namespace copperfront::day {
 
+// A gateway process.
 struct GatewayPlan {
     std::string name, zone;
 };
 
-struct EnginePlan {
-    std::string name, kind, role, zone, cell, reports;
+// A fake model server process.
+struct ServerPlan {
+    std::string name, kind, role, zone, cell, load_reports;
     std::size_t slots = 0, queue = 0;
-    double memory = 0, kept = 0, read_rate = 0, step_ms = 0, step_ms_per_stream = 0, fetch_rate = 0;
-    bool cold = false;  // at the beginning of the day
+    double memory_tokens = 0, cache_tokens = 0, prefill_tokens_per_s = 0, step_ms = 0, step_ms_per_stream = 0,
+           transfer_tokens_per_s = 0;
+    bool cold = false;  // at the start of the scenario
 };
 
+// The load of one kind of clients.
 struct TrafficPlan {
     std::string name, zone, category, client_group;
-    double rate = 0;  // queries a second
-    std::size_t connections = 0, beginnings = 0, repeats = 0;
-    double prompt = 0, beginning_tokens = 0, most_tokens = 0, sessions = 0;
-    double leave = 0, patience = 1;  // shares
-    Span budget, repeat_wait;
-    bool hints = false;
+    double requests_per_s = 0;
+    std::size_t connections = 0, shared_prefixes = 0, max_repeats = 0;
+    double mean_prompt_tokens = 0, beginning_tokens = 0, most_tokens = 0, mean_session_requests = 0;
+    // Shares: of clients that leave early, and of its time budget that a client waits at least.
+    double leave_share = 0, min_wait_share = 1;
+    Span time_budget, repeat_delay;
+    bool sends_duration_hint = false;
 };
 
-struct MisfitPlan {
+// Clients that break the protocol or do not read what they are sent.
+struct MisbehavingClientPlan {
     std::string name, zone, kind;
     std::size_t count = 0;
     Span at;
 };
 
-struct TroublePlan {
-    std::string name, what, zone;
-    Span at, lasts;
-    std::vector<std::string> on;
+// A fault, its time and its targets.
+struct FaultPlan {
+    std::string name, kind, zone;
+    Span at, duration;
+    std::vector<std::string> targets;
     double size = 0;
 };
 
-struct Script {
-    std::string name, terms;  // terms: path of the terms file, from the script's folder
+// The whole scenario.
+struct Scenario {
+    std::string name, terms_file;  // path of the terms file; the script states it relative to its own folder
     Span length, tail;
     std::uint32_t seed = 1;
-    Span roster_least, roster_most, front_notice;
+    // For down_detection_delay, clients still use a gateway that is down.
+    Span roster_min_delay, roster_max_delay, down_detection_delay;
     std::vector<GatewayPlan> gateways;
-    std::vector<EnginePlan> engines;
+    std::vector<ServerPlan> servers;
     std::vector<TrafficPlan> traffic;
-    std::vector<MisfitPlan> misfits;
-    std::vector<TroublePlan> troubles;
-    double cold_from = 0.3;
-    Span warm_in;
+    std::vector<MisbehavingClientPlan> misbehaving_clients;
+    std::vector<FaultPlan> fault_plans;
+    double cold_speed_share = 0.3;  // of its full speed, at which a server starts
+    Span warm_up_time;
 };
 
-const Schema& script_schema();
+// Returns the schema of scenario scripts.
+const Schema& scenario_schema();
 
-// The terms file is read as well, so that the two are checked against each other. `terms` is that of the
+// Reads the script and its terms file, and checks them against each other. `terms` receives the terms of the
 // first gateway.
-bool read_script_file(const std::string& path, Script& script, GatewayTerms& terms,
-                      std::vector<Fault>& faults);
+bool read_scenario_file(const std::string& path, Scenario& scenario, GatewayTerms& terms,
+                        std::vector<Fault>& faults);
 
 }  // namespace copperfront::day
--- a/tests/day/sabotage_test.cpp
+++ b/tests/day/sabotage_test.cpp
@@ -1,5 +1,5 @@
-// The audit must be able to fail: a short day through a gateway that breaks one rule on purpose has to be
-// found out as just that, and the same day through the real gateway has to be clean.
+// Guards against an audit that cannot fail: a short scenario with a gateway that breaks one rule on purpose
+// must be reported as a breach of that rule alone, and the same scenario with the real gateway must be clean.
 #include <cassert>
 #include <cstdio>
 #include <cstdlib>
@@ -26,8 +26,8 @@
 
 struct Case {
     int rule;
-    const char* what;     // part of the breach that is to be named
-    const char* trouble;  // of the day
+    const char* what;   // part of the text of the expected breach
+    const char* fault;  // entry of the scenario script
 };
 
 const std::map<std::string, Case> kCases = {
@@ -62,16 +62,16 @@
     std::string out;
     FILE* pipe = popen(command.c_str(), "r");
     assert(pipe != nullptr);
-    char piece[4096];
-    for (std::size_t n = 0; (n = fread(piece, 1, sizeof piece, pipe)) > 0;) out.append(piece, n);
+    char chunk[4096];
+    for (std::size_t n = 0; (n = fread(chunk, 1, sizeof chunk, pipe)) > 0;) out.append(chunk, n);
     if (pclose(pipe) != 0) std::fprintf(stderr, "went wrong: %s\n%s\n", command.c_str(), out.c_str());
     return out;
 }
 
-// What the gateway wrote of its queries against what their callers saw on their sockets, and every tool on
-// its files.
-void the_trace_agrees(const std::string& copperfront, const std::string& folder,
-                      const nlohmann::json& report) {
+// Compares the gateway's trace of its requests with what the clients saw on their sockets, and runs every
+// trace tool on the trace files.
+void check_trace_against_clients(const std::string& copperfront, const std::string& folder,
+                                 const nlohmann::json& report) {
     const std::string trace = copperfront + " trace ", files = folder + "/records/traces/*.cft";
     const auto summary = nlohmann::json::parse(output_of(trace + "summary --format json " + files));
     std::map<std::string, nlohmann::json> by_category;
@@ -87,33 +87,35 @@
     }
     assert(summary["dropped"] == 0 && summary["decisions"] > 100);
     assert(output_of(trace + "verify " + files).find(": whole, version 2") != std::string::npos);
-    const std::string all = folder + "/all.cft", again = folder + "/again.cft",
-                      hidden = folder + "/hidden.cft", lines = folder + "/lines.json", key = folder + "/key";
+    const std::string merged = folder + "/all.cft", converted_back = folder + "/again.cft",
+                      anonymised = folder + "/hidden.cft", json_lines = folder + "/lines.json",
+                      key = folder + "/key";
     std::ofstream(key) << "sixteen bytes or more";
-    output_of(trace + "merge " + files + " " + files + " -o " + all);
-    output_of(trace + "convert " + all + " > " + lines + " && " + trace + "convert --to trace " + lines +
-              " -o " + again);
-    assert(output_of(trace + "diff " + all + " " + again).find('\n') ==
-           output_of(trace + "diff " + all + " " + again).size() - 1);
-    assert(output_of(trace + "summary --format json " + again) ==
-           output_of(trace + "summary --format json " + all));
-    output_of(trace + "anonymise --key " + key + " " + all + " -o " + hidden);
-    assert(output_of(trace + "convert " + hidden).find("pure") == std::string::npos);
-    assert(output_of(trace + "cut --from +1 --until +2 " + all + " -o - | " + trace + "verify -")
+    output_of(trace + "merge " + files + " " + files + " -o " + merged);
+    output_of(trace + "convert " + merged + " > " + json_lines + " && " + trace + "convert --to trace " +
+              json_lines + " -o " + converted_back);
+    assert(output_of(trace + "diff " + merged + " " + converted_back).find('\n') ==
+           output_of(trace + "diff " + merged + " " + converted_back).size() - 1);
+    assert(output_of(trace + "summary --format json " + converted_back) ==
+           output_of(trace + "summary --format json " + merged));
+    output_of(trace + "anonymise --key " + key + " " + merged + " -o " + anonymised);
+    assert(output_of(trace + "convert " + anonymised).find("pure") == std::string::npos);
+    assert(output_of(trace + "cut --from +1 --until +2 " + merged + " -o - | " + trace + "verify -")
                .find("-: whole") == 0);
-    // Cut off as by a kill: read as far as it goes, and closed again by mending.
-    output_of("head -c 6000 " + all + " > " + folder + "/torn.cft; " + trace + "mend " + folder +
+    // A file that is cut off, as after a kill, is read up to the cut and completed by `mend`.
+    output_of("head -c 6000 " + merged + " > " + folder + "/torn.cft; " + trace + "mend " + folder +
               "/torn.cft -o " + folder + "/mended.cft");
     assert(output_of(trace + "verify " + folder + "/mended.cft").find(": whole") != std::string::npos);
-    // Of a query that was settled, whatever befell the others.
-    const std::string name = output_of("grep -m1 -v '\"outcome\"\\|decisions\\|events' " + lines);
-    const auto settled = nlohmann::json::parse(name);
-    const std::string story = output_of(trace + "explain " + settled["origin"].get<std::string>() + "." +
-                                        settled["query"].dump() + " " + all);
+    // A request that completed, whatever happened to the others.
+    const std::string name = output_of("grep -m1 -v '\"outcome\"\\|decisions\\|events' " + json_lines);
+    const auto completed_request = nlohmann::json::parse(name);
+    const std::string explanation =
+        output_of(trace + "explain " + completed_request["origin"].get<std::string>() + "." +
+                  completed_request["query"].dump() + " " + merged);
     for (const char* part :
          {"query g.", "read at 127.0.0.1:", "that could be taken", "write at", "settled after"})
-        assert(story.find(part) != std::string::npos);
-    assert(output_of(trace + "show --limit 3 " + all).find("started") != std::string::npos);
+        assert(explanation.find(part) != std::string::npos);
+    assert(output_of(trace + "show --limit 3 " + merged).find("started") != std::string::npos);
 }
 
 }  // namespace
@@ -132,30 +134,31 @@
       (engine "w" (count 3) (kind "writer") (zone "z"))
       (traffic "p" (zone "z") (category "pure") (rate 12) (prompt 600) (beginning-tokens 100) (budget 1500ms))
       (traffic "o" (zone "z") (category "once") (rate 12) (prompt 600) (beginning-tokens 100) (budget 1500ms)))"
-                                     << c.trouble << ")\n";
+                                     << c.fault << ")\n";
     int status = 0;
-    const nlohmann::json honest = play(copperfront, folder, "", status);
-    if (!honest["clean"].get<bool>()) std::fprintf(stderr, "%s\n", honest.dump(1).c_str());
-    assert(honest["clean"].get<bool>() && status == 0);
-    the_trace_agrees(copperfront, folder, honest);
+    const nlohmann::json clean_report = play(copperfront, folder, "", status);
+    if (!clean_report["clean"].get<bool>()) std::fprintf(stderr, "%s\n", clean_report.dump(1).c_str());
+    assert(clean_report["clean"].get<bool>() && status == 0);
+    check_trace_against_clients(copperfront, folder, clean_report);
     std::filesystem::remove_all(folder + "/records");
 
-    const nlohmann::json broken = play(
+    const nlohmann::json faulty_report = play(
         copperfront, folder, "--gateway-program " + sabotaged + " --gateway-arg=--sabotage=" + kind, status);
-    assert(!broken["clean"].get<bool>() && status != 0);
-    bool named = false, explained = false;
+    assert(!faulty_report["clean"].get<bool>() && status != 0);
+    bool breach_found = false, explanation_found = false;
     std::set<int> rules;
-    for (const auto& breach : broken["breaches"]) {
+    for (const auto& breach : faulty_report["breaches"]) {
         rules.insert(breach["rule"].get<int>());
-        // The decision behind it, from the gateway's own trace.
-        explained |= breach["story"].get<std::string>().find(" at 127.0.0.1:") != std::string::npos;
-        named |=
+        // The decision that led to the breach, from the gateway's own trace.
+        explanation_found |= breach["story"].get<std::string>().find(" at 127.0.0.1:") != std::string::npos;
+        breach_found |=
             breach["rule"] == c.rule && breach["what"].get<std::string>().find(c.what) != std::string::npos;
     }
-    if (!named || rules.size() != 1) std::fprintf(stderr, "%s\n", broken.dump(1).substr(0, 8000).c_str());
-    assert(named);
-    if (!explained) std::fprintf(stderr, "%s\n", broken.dump(1).substr(0, 8000).c_str());
-    assert(explained);
+    if (!breach_found || rules.size() != 1)
+        std::fprintf(stderr, "%s\n", faulty_report.dump(1).substr(0, 8000).c_str());
+    assert(breach_found);
+    if (!explanation_found) std::fprintf(stderr, "%s\n", faulty_report.dump(1).substr(0, 8000).c_str());
+    assert(explanation_found);
     assert(rules == std::set<int>{c.rule});
     std::filesystem::remove_all(folder);
     return 0;
--- a/tests/day/sabotaged_gateway.cpp
+++ b/tests/day/sabotaged_gateway.cpp
@@ -1,4 +1,4 @@
-// A gateway that breaks one rule on purpose, so that the audit can be seen to notice. For tests only.
+// A gateway that breaks one rule on purpose, to test that the audit detects it. For tests only.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -9,86 +9,87 @@
 namespace copperfront {
 namespace {
 
-// Stands between the desk and the gateway and does some of what it is told otherwise.
-class Saboteur : public Outside {
+// Sits between the dispatcher and the gateway, and changes some of the dispatcher's calls.
+class SabotagingHost : public Outside {
   public:
-    Saboteur(Outside& real, std::string kind, const ServerIndex& cold)
-        : real_(real), kind_(std::move(kind)), cold_(cold) {}
+    SabotagingHost(Outside& host, std::string kind, const ServerIndex& cold_server)
+        : host_(host), kind_(std::move(kind)), cold_server_(cold_server) {}
 
-    Instant now() const override { return real_.now(); }
-    void wake_at(Instant at) override { real_.wake_at(kind_ == "late" ? at + Span{600000} : at); }
-    void send_read(AttemptId attempt, ServerIndex to, QueryIndex query, Span limit) override {
-        // Pushed, but each push is called off at once, so that no state is left behind.
-        for (int n = 0; kind_ == "cold" && cold_ != kNone && n < 6; ++n) {
-            const AttemptId push = (AttemptId{1} << 40) + ++pushes_;
-            real_.send_read(push, cold_, query, limit);
-            real_.call_off(push, cold_);
+    Instant now() const override { return host_.now(); }
+    void wake_at(Instant at) override { host_.wake_at(kind_ == "late" ? at + Span{600000} : at); }
+    void send_read(AttemptId attempt, ServerIndex to, QueryIndex request, Span limit) override {
+        // Overloads the cold server. Each extra attempt is cancelled at once, so that no state is left
+        // behind.
+        for (int n = 0; kind_ == "cold" && cold_server_ != kNoServer && n < 6; ++n) {
+            const AttemptId extra_attempt = (AttemptId{1} << 40) + ++extra_attempts_;
+            host_.send_read(extra_attempt, cold_server_, request, limit);
+            host_.call_off(extra_attempt, cold_server_);
         }
-        real_.send_read(attempt, to, query, limit);
+        host_.send_read(attempt, to, request, limit);
     }
-    void send_write(AttemptId attempt, ServerIndex to, QueryIndex query, AttemptId state, ServerIndex from,
+    void send_write(AttemptId attempt, ServerIndex to, QueryIndex request, AttemptId state, ServerIndex from,
                     Span limit) override {
-        real_.send_write(attempt, to, query, state, from, limit);
+        host_.send_write(attempt, to, request, state, from, limit);
     }
-    void call_off(AttemptId attempt, ServerIndex at) override { real_.call_off(attempt, at); }
-    bool unsend(AttemptId attempt, ServerIndex at) override { return real_.unsend(attempt, at); }
+    void call_off(AttemptId attempt, ServerIndex at) override { host_.call_off(attempt, at); }
+    bool unsend(AttemptId attempt, ServerIndex at) override { return host_.unsend(attempt, at); }
     void release(ServerIndex at, AttemptId state) override {
         if (kind_ == "pinned") return;
-        real_.release(at, state);
+        host_.release(at, state);
     }
-    void probe(ServerIndex server) override { real_.probe(server); }
-    void subscribe() override { real_.subscribe(); }
-    void settled(QueryIndex query) override {
+    void probe(ServerIndex server) override { host_.probe(server); }
+    void subscribe() override { host_.subscribe(); }
+    void settled(QueryIndex request) override {
         if (kind_ == "dropped" && ++answers_ % 5 == 0) return;
-        real_.settled(query);
+        host_.settled(request);
     }
-    void declined(QueryIndex query, Span stay_away, std::string_view why) override {
-        real_.declined(query, stay_away, why);
+    void declined(QueryIndex request, Span stay_away, std::string_view why) override {
+        host_.declined(request, stay_away, why);
     }
-    void given_up(QueryIndex query, std::string_view why) override { real_.given_up(query, why); }
-    void closed(QueryIndex query) override { real_.closed(query); }
-    void log(std::string_view line) override { real_.log(line); }
+    void given_up(QueryIndex request, std::string_view why) override { host_.given_up(request, why); }
+    void closed(QueryIndex request) override { host_.closed(request); }
+    void log(std::string_view line) override { host_.log(line); }
 
-    static constexpr ServerIndex kNone = ~ServerIndex{0};
+    static constexpr ServerIndex kNoServer = ~ServerIndex{0};
 
   private:
-    Outside& real_;
+    Outside& host_;
     const std::string kind_;
-    const ServerIndex& cold_;
-    std::uint64_t answers_ = 0, pushes_ = 0;
+    const ServerIndex& cold_server_;
+    std::uint64_t answers_ = 0, extra_attempts_ = 0;
 };
 
-class Sabotaged : public Gateway {
+class SabotagedGateway : public Gateway {
   public:
-    Sabotaged(Loop& loop, const GatewayTerms& terms, std::uint32_t seed, Log& log, std::string kind,
-              std::unique_ptr<Saboteur>& saboteur, ServerIndex& cold)
+    SabotagedGateway(Loop& loop, const GatewayTerms& terms, std::uint32_t seed, Log& log, std::string kind,
+                     std::unique_ptr<SabotagingHost>& sabotaging_host, ServerIndex& cold_server)
         : Gateway(loop, terms, seed, log,
-                  [&](const Terms& core, copperfront::Outside& real, std::uint32_t s) {
-                      saboteur = std::make_unique<Saboteur>(real, kind, cold);
+                  [&](const Terms& core, copperfront::Outside& host, std::uint32_t s) {
+                      sabotaging_host = std::make_unique<SabotagingHost>(host, kind, cold_server);
                       Terms other = core;
-                      // What may be sent twice is the module's to decide; it is told wrongly here.
+                      // The dispatcher decides what may be sent twice; here it gets the wrong effects.
                       if (kind == "twice")
                           for (Category& c : other.categories) c.effect = Effect::pure;
-                      return std::make_unique<Desk>(other, *saboteur, s);
+                      return std::make_unique<Desk>(other, *sabotaging_host, s);
                   }),
           kind_(std::move(kind)),
-          cold_(cold) {}
+          cold_server_(cold_server) {}
 
   private:
     std::string final_line(const std::string& line) override {
         return kind_ == "doubled" ? line + "\n" + line : line;
     }
     void list_told(const std::vector<rpc::RosterEntry>& entries, bool whole, bool stale) override {
-        std::vector<rpc::RosterEntry> told = entries;
-        for (rpc::RosterEntry& e : told) {
-            const ServerIndex s = names_.index(e.server);
+        std::vector<rpc::RosterEntry> changed = entries;
+        for (rpc::RosterEntry& e : changed) {
+            const ServerIndex server = names_.index(e.server);
             if (kind_ == "drain") e.standing = Standing::ready;
-            if (e.born_ms > 0 && e.kind == "reader" && e.standing == Standing::ready) cold_ = s;
+            if (e.born_ms > 0 && e.kind == "reader" && e.standing == Standing::ready) cold_server_ = server;
         }
-        Gateway::list_told(told, whole, stale);
+        Gateway::list_told(changed, whole, stale);
     }
     const std::string kind_;
-    ServerIndex& cold_;
+    ServerIndex& cold_server_;
     Names names_;
 };
 
@@ -122,9 +123,9 @@
     }
     Log log("info", "json", "", 1 << 20, 1);
     Loop loop;
-    std::unique_ptr<Saboteur> saboteur;
-    ServerIndex cold = Saboteur::kNone;
-    Sabotaged gateway(loop, terms, seed, log, kind, saboteur, cold);
+    std::unique_ptr<SabotagingHost> sabotaging_host;
+    ServerIndex cold_server = SabotagingHost::kNoServer;
+    SabotagedGateway gateway(loop, terms, seed, log, kind, sabotaging_host, cold_server);
     for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { gateway.stop(); });
     std::printf("ready %s\n", gateway.address().text().c_str());
     std::fflush(stdout);
--- a/tests/wirehost/wire_test.cpp
+++ b/tests/wirehost/wire_test.cpp
@@ -1,4 +1,4 @@
-// Drives the built adapter through a small conversation, and shows it what it must turn away.
+// Runs the built adapter on a short exchange of messages, and checks that it rejects invalid input.
 #include <sys/wait.h>
 
 #include <cassert>
@@ -13,7 +13,7 @@
 
 std::string program;
 
-struct Ran {
+struct RunResult {
     std::string out, err;
     int code;
 };
@@ -25,7 +25,7 @@
     return text.str();
 }
 
-Ran run(const std::string& input) {
+RunResult run(const std::string& input) {
     std::ofstream("wire_test.in") << input;
     const std::string command = "'" + program + "' < wire_test.in > wire_test.out 2> wire_test.err";
     const int status = std::system(command.c_str());
@@ -33,7 +33,9 @@
     return {read_file("wire_test.out"), read_file("wire_test.err"), WEXITSTATUS(status)};
 }
 
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+    return text.find(part) != std::string::npos;
+}
 
 std::string provision(int who) {
     return R"({"kind":"Provision","who":)" + std::to_string(who) +
@@ -50,17 +52,18 @@
     R"({"family-type":"d","server":"h2:1","region-part":"east","size":1,"condition":"Ready","unit-group":0}]})"
     "\n";
 
-std::string round(double ms, const std::string& events) {
+// Returns a batch of events at one time.
+std::string batch(double ms, const std::string& events) {
     return R"({"kind":"Round","time-ms":)" + std::to_string(ms) + "}\n" + events +
            "{\"kind\":\"EofBatch\"}\n";
 }
 
-const std::string kAsk =
+const std::string kInbound =
     R"({"kind":"Inbound","who":1,"call":4503599627370495,"priority":"ask","client-group":0,"time-budget-ms":3000.5,)"
     R"("prompt-tokens":500,"max-tokens":100})"
     "\n";
 
-void conversation() {
+void check_exchange() {
     const std::string read =
         R"({"kind":"Result","who":1,"call":4503599627370495,"server":"h1:1","attempt":0,)"
         R"("took-ms":9.5,"how":"read","info":0,"extra":1})"
@@ -73,26 +76,27 @@
                            "\n";
     const std::string gone = R"({"kind":"Gone","who":1,"call":4503599627370495})"
                              "\n";
-    const std::string down = R"({"kind":"Teardown","who":1})"
-                             "\n";
-    const Ran ran =
-        run(round(10, provision(1) + kList) + round(20, kAsk) + round(30, read) + round(40, flowing) +
-            round(50, ok + gone) + round(60, down + provision(1) + kList + kAsk));
-    assert(ran.code == 0 && ran.err.empty());
+    const std::string teardown = R"({"kind":"Teardown","who":1})"
+                                 "\n";
+    const RunResult result =
+        run(batch(10, provision(1) + kList) + batch(20, kInbound) + batch(30, read) + batch(40, flowing) +
+            batch(50, ok + gone) + batch(60, teardown + provision(1) + kList + kInbound));
+    assert(result.code == 0 && result.err.empty());
     std::size_t replies = 0;
-    for (std::size_t at = 0; (at = ran.out.find("\"Eor\"", at)) != std::string::npos; ++at) ++replies;
+    for (std::size_t at = 0; (at = result.out.find("\"Eor\"", at)) != std::string::npos; ++at) ++replies;
     assert(replies == 6);
-    const std::size_t first = ran.out.find("\"h1:1\""), second = ran.out.find("\"h2:1\"");
+    const std::size_t first = result.out.find("\"h1:1\""), second = result.out.find("\"h2:1\"");
     assert(first != std::string::npos && second != std::string::npos && first < second);
-    assert(has(ran.out, "4503599627370495") && has(ran.out, "3000.5"));
-    assert(ran.out.find("\"h1:1\"", second) != std::string::npos);  // the instance made anew may reuse the id
-    assert(!has(ran.out, "Decline") && !has(ran.out, "Lose"));
+    assert(contains(result.out, "4503599627370495") && contains(result.out, "3000.5"));
+    assert(result.out.find("\"h1:1\"", second) !=
+           std::string::npos);  // an instance that is provisioned again may reuse the id
+    assert(!contains(result.out, "Decline") && !contains(result.out, "Lose"));
 }
 
-void bad_input(const std::string& input, const std::string& line, const std::string& trouble) {
-    const Ran ran = run(input);
-    assert(ran.code != 0 && has(ran.err, "line " + line) && has(ran.err, trouble));
-    assert(!has(ran.out, "SubmitTo"));
+void check_rejected(const std::string& input, const std::string& line, const std::string& message) {
+    const RunResult result = run(input);
+    assert(result.code != 0 && contains(result.err, "line " + line) && contains(result.err, message));
+    assert(!contains(result.out, "SubmitTo"));
 }
 
 }  // namespace
@@ -100,15 +104,17 @@
 int main(int argc, char** argv) {
     assert(argc == 2);
     program = argv[1];
-    conversation();
-    const std::string begin = "{\"kind\":\"Round\",\"time-ms\":1}\n";
-    bad_input("{nonsense\n", "1", "not JSON");
-    bad_input(begin + "{\"kind\":\"Dance\",\"who\":1}\n", "2", "not provisioned");
-    bad_input(begin + provision(1) + "{\"kind\":\"Dance\",\"who\":1}\n", "3", "unknown message: Dance");
-    bad_input(begin + kList, "2", "not provisioned");
-    bad_input(begin + provision(1) + "{\"kind\":\"Gone\",\"who\":1}\n", "3", "a field is missing: call");
-    bad_input(begin + provision(1) + "{\"kind\":\"Gone\",\"who\":1,\"call\":\"x\"}\n", "3",
-              "not a whole number");
-    bad_input(begin + provision(1) + kList + kAsk, "4", "ends inside a batch");
-    bad_input("{\"kind\":\"EofBatch\"}\n", "1", "no Round");
+    check_exchange();
+    const std::string round_start = "{\"kind\":\"Round\",\"time-ms\":1}\n";
+    check_rejected("{nonsense\n", "1", "not JSON");
+    check_rejected(round_start + "{\"kind\":\"Dance\",\"who\":1}\n", "2", "not provisioned");
+    check_rejected(round_start + provision(1) + "{\"kind\":\"Dance\",\"who\":1}\n", "3",
+                   "unknown message: Dance");
+    check_rejected(round_start + kList, "2", "not provisioned");
+    check_rejected(round_start + provision(1) + "{\"kind\":\"Gone\",\"who\":1}\n", "3",
+                   "a field is missing: call");
+    check_rejected(round_start + provision(1) + "{\"kind\":\"Gone\",\"who\":1,\"call\":\"x\"}\n", "3",
+                   "not a whole number");
+    check_rejected(round_start + provision(1) + kList + kInbound, "4", "ends inside a batch");
+    check_rejected("{\"kind\":\"EofBatch\"}\n", "1", "no Round");
 }
