--- a/bench/growth_bench.cpp
+++ b/bench/growth_bench.cpp
@@ -17,9 +17,9 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kMs{1000};
-constexpr Span kReadyTimeout = kMs * 20000;
-constexpr Span kResponseTimeout = kMs * 4000;
+constexpr Duration kMs{1000};
+constexpr Duration kReadyTimeout = kMs * 20000;
+constexpr Duration kResponseTimeout = kMs * 4000;
 constexpr int kPort = 18081;
 constexpr rlim_t kMaxDescriptors = 16384;
 
@@ -79,38 +79,38 @@
         : loop_(loop), text_(std::move(text)), started_(loop.now()) {
         stream_ = Stream::dial(loop, to, {0, 0}, *this);
     }
-    ~OneRequest() override { Stream::hand_off(loop_, std::move(stream_), false); }
+    ~OneRequest() override { Stream::detach_and_close(loop_, std::move(stream_), false); }
     bool completed() const { return duration_.us > 0; }
-    Span duration() const { return duration_; }
+    Duration duration() const { return duration_; }
     const std::string& received() const { return received_; }
 
   private:
-    void stream_made(Stream& stream) override { stream.send(text_); }
-    void bytes_came(Stream& stream) override {
-        while (stream.held() > 0) {
+    void stream_connected(Stream& stream) override { stream.send(text_); }
+    void bytes_received(Stream& stream) override {
+        while (stream.buffered() > 0) {
             received_.append(stream.front());
             stream.drain(stream.front().size());
         }
         if (duration_.us == 0 && received_.find("data: [DONE]") != std::string::npos)
             duration_ = loop_.now() - started_;
     }
-    void stream_closed(Stream&, Closing, const std::string&) override {}
+    void stream_closed(Stream&, CloseReason, const std::string&) override {}
 
     Loop& loop_;
     std::string text_, received_;
     Instant started_;
-    Span duration_;
+    Duration duration_;
     std::unique_ptr<Stream> stream_;
 };
 
 class Measurement {
   public:
     Measurement(const std::string& program, std::size_t servers, const Options& options)
-        : options_(options), platform_(loop_, standin::Platform::Shape{}), processes_(loop_) {
+        : options_(options), platform_(loop_, fake_server::FakePlatform::ServiceTimes{}), processes_(loop_) {
         for (std::size_t n = 0; n < servers; ++n) {
-            platform_.add("s-" + std::to_string(n), n % 2 == 0 ? Role::reader : Role::writer,
+            platform_.add("s-" + std::to_string(n), n % 2 == 0 ? Role::prefill : Role::decode,
                           n / 2 % 2 == 0 ? "a" : "b", static_cast<int>(n % 20));
-            if (options.cold) platform_.set_start("s-" + std::to_string(n), loop_.now().us / 1000);
+            if (options.cold) platform_.set_process_start("s-" + std::to_string(n), loop_.now().us / 1000);
         }
         start(program);
     }
@@ -143,18 +143,18 @@
         std::ofstream file(configuration_);
         file << R"({"name":"n0","listen":")" << address_.text() << R"(","discovery":")"
              << platform_.discovery().text() << R"(","seed":"1","limits":{"memory_mb":192,"sockets":1024},)"
-             << R"("known":)" << platform_.list() << ",\n"
+             << R"("known":)" << platform_.list_json() << ",\n"
              << kSettings << "}\n";
         file.close();
-        day::Processes::Start start;
+        scenario::ChildProcesses::ProcessOptions start;
         start.name = "gateway";
         start.program = program;
         start.args = {"node", configuration_, "--log-level", "warn"};
-        start.errors = configuration_ + ".log";
+        start.stderr_file = configuration_ + ".log";
         processes_.start(std::move(start));
     }
 
-    void run_loop_for(Span duration) {
+    void run_loop_for(Duration duration) {
         Timer timer(loop_, [this] { loop_.stop(); });
         timer.set(duration);
         loop_.run();
@@ -164,7 +164,7 @@
     // meaningless.
     void check_gateway_served(const std::vector<std::unique_ptr<OneRequest>>& requests) const {
         const auto& lists = platform_.written_lists();
-        const bool watches = !lists.empty() && !lists.back().whole;
+        const bool watches = !lists.empty() && !lists.back().is_snapshot;
         if (!watches)
             throw std::runtime_error(
                 "the gateway has not taken its server list: it does not watch for changes");
@@ -197,12 +197,12 @@
 
     Figures figures(const std::vector<std::unique_ptr<OneRequest>>& requests) const {
         Figures result;
-        const pid_t process = processes_.id_of("gateway");
+        const pid_t process = processes_.pid_of("gateway");
         result.cpu_s = cpu_seconds_of(process);
         result.memory_mb = peak_memory_mb_of(process);
         result.descriptors = descriptors_of(process);
         std::set<std::uint64_t> connections;
-        for (const auto& heard : platform_.heard()) connections.insert(heard.connection);
+        for (const auto& heard : platform_.received()) connections.insert(heard.connection);
         result.connections = connections.size();
         std::vector<double> times;
         for (const auto& request : requests) {
@@ -221,8 +221,8 @@
     const std::string configuration_ = std::filesystem::temp_directory_path().string() + "/growth-bench-" +
                                        std::to_string(getpid()) + ".json";
     const Address address_ = Address::parse("127.0.0.1:" + std::to_string(kPort));
-    standin::Platform platform_;
-    day::Processes processes_;
+    fake_server::FakePlatform platform_;
+    scenario::ChildProcesses processes_;
 };
 
 void measure_all(const Options& options) {
--- a/bench/limit_study.cpp
+++ b/bench/limit_study.cpp
@@ -19,7 +19,7 @@
     struct Setting {
         const char* name;
         double fixed;
-        bool adapts;
+        bool adaptive;
     };
     for (const double load : {0.5, 0.9, 1.2, 2.0, 3.0})
         for (const Setting& setting : {Setting{"none", kNoLimit, false},
@@ -29,14 +29,15 @@
                                        {"fixed at 160", 160, false},
                                        {"adapts", kNoLimit, true}}) {
             RouteLimits l;
-            l.in_hand = setting.fixed;
-            l.adapts = setting.adapts;
-            slot_fleet::Load fleet_load;
-            fleet_load.of_capacity = load;
-            fleet_load.patience = {2000000};
-            const auto result = slot_fleet::play(l, fleet_load);
+            l.in_flight = setting.fixed;
+            l.adaptive = setting.adaptive;
+            simulated_fleet::Load fleet_load;
+            fleet_load.load_factor = load;
+            fleet_load.client_timeout = {2000000};
+            const auto result = simulated_fleet::simulate(l, fleet_load);
             std::printf("| %.1f | %s | %.0f | %.0f | %.0f ms | %.0f ms |\n", load, setting.name,
-                        result.settled, result.good, result.first_ms, result.p99);
+                        result.completed_per_s, result.good, result.mean_first_token_ms,
+                        result.p99_first_token_ms);
         }
 }
 
@@ -70,15 +71,15 @@
     std::vector<Admission> gateways;
     std::vector<FleetShare> shares(n, FleetShare(f.gateways));
     for (std::size_t g = 0; g < n; ++g) {
-        gateways.emplace_back(f.gateways, slot_fleet::kBegin);
-        gateways[g].change({{l}}, f.gateways, slot_fleet::kBegin);
+        gateways.emplace_back(f.gateways, simulated_fleet::kStart);
+        gateways[g].change({{l}}, f.gateways, simulated_fleet::kStart);
     }
     std::vector<std::vector<double>> in_hand(n, std::vector<double>(kEngines));
     std::deque<std::tuple<int, std::size_t, std::size_t>> ends;  // tick, gateway, server
     double admitted = 0, offered = 0, this_second = 0;
     DivisionResult result;
     for (int tick = 0; tick < kSeconds * 100; ++tick) {
-        const Instant now = slot_fleet::kBegin + Span{tick * 10000};
+        const Instant now = simulated_fleet::kStart + Duration{tick * 10000};
         while (!ends.empty() && std::get<0>(ends.front()) <= tick) {
             in_hand[std::get<1>(ends.front())][std::get<2>(ends.front())] -= 1;
             ends.pop_front();
@@ -92,8 +93,8 @@
             wanted += arrived;
             for (int q = 0; q < arrived + other; ++q) {
                 if (q < arrived) {
-                    if (gateways[g].query_came(0, 1, false, now).why != Refusal::none) continue;
-                    gateways[g].query_over(0, 1, true, now);
+                    if (gateways[g].request_arrived(0, 1, false, now).why != RejectReason::none) continue;
+                    gateways[g].request_ended(0, 1, true, now);
                     this_second += 1;
                     if (tick >= 500) admitted += 1;
                 }
@@ -114,7 +115,7 @@
             double all = 0;
             for (std::size_t o = 0; o < n; ++o) all += in_hand[o][e];
             shares[g].report(in_hand[g][e], all * f.overstated * (0.9 + 0.2 * uniform(chance)), now);
-            gateways[g].part_is(shares[g].value(now));
+            gateways[g].set_share(shares[g].value(now));
         }
     }
     result.completed_share = admitted / std::min(offered, kStated * (kSeconds - 5));
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -24,14 +24,14 @@
         r.category = n % 7 == 0 ? kAny : n % 20;
         r.client_group = n / 20;
         if (n % 3 == 0) r.attributes = {n % 50};
-        if (n % 11 == 0) r.prompt_over = 1000;
+        if (n % 11 == 0) r.min_prompt_tokens = 1000;
         out.push_back(r);
     }
     return out;
 }
 
-RouteQuery random_request(std::minstd_rand& chance, std::size_t count) {
-    RouteQuery q;
+RouteRequest random_request(std::minstd_rand& chance, std::size_t count) {
+    RouteRequest q;
     q.category = static_cast<std::uint32_t>(chance() % 20);
     q.client_group = static_cast<std::uint32_t>(chance() % (count / 20 + 1));
     q.listener = 0;
@@ -60,21 +60,21 @@
     RouteLimits l;
     l.rate = 1e9;
     l.burst = 1e9;
-    l.in_hand = 1000;
+    l.in_flight = 1000;
     l.answer_rate = 1e9;
-    l.adapts = true;
+    l.adaptive = true;
     l.retry_share = 0.2;
     Admission a(3, kStart);
     a.change({{l}}, 3, kStart);
     Instant now = kStart;
     for (auto _ : state) {
-        now = now + Span{100};
-        benchmark::DoNotOptimize(a.query_came(0, 500, false, now).why);
+        now = now + Duration{100};
+        benchmark::DoNotOptimize(a.request_arrived(0, 500, false, now).why);
         a.first_attempt_started(0, now);
         a.first_attempt_started(0, now);
-        a.began(0, Span{50000}, now);
-        a.tokens_came(0, 20, now);
-        a.query_over(0, 500, true, now);
+        a.stream_began(0, Duration{50000}, now);
+        a.tokens_received(0, 20, now);
+        a.request_ended(0, 500, true, now);
     }
 }
 
@@ -95,7 +95,7 @@
     std::deque<Request> queue;
     double due = 0, arrived = 0, completed = 0, capacity = 0;
     for (int t = 0; t < 60000; ++t) {
-        const Instant now = kStart + Span{t * 1000};
+        const Instant now = kStart + Duration{t * 1000};
         for (due += 0.32; due >= 1; due -= 1) {
             queue.push_back({now, 0});
             a.first_attempt_started(0, now);
@@ -105,7 +105,7 @@
             Request q = queue.front();
             queue.pop_front();
             // Servers also process requests whose clients no longer wait: they cannot know.
-            const bool late = now - q.arrived_at > Span{1000000};
+            const bool late = now - q.arrived_at > Duration{1000000};
             if (chance() % 2 == 0) {
                 completed += !late;
             } else if (!late && ++q.attempts < 6 && a.may_attempt_again(0, now)) {
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -26,7 +26,7 @@
 
 using rpc::Json;
 
-constexpr LinkBounds kLineLimits{1 << 20, 1 << 28};
+constexpr LineLimits kLineLimits{1 << 20, 1 << 28};
 
 void pin(int core, int another = -1) {
     cpu_set_t set;
@@ -38,15 +38,16 @@
 
 // ---- a fake server that answers at once, or paces its tokens
 
-class FastServer : public Link::Owner {
+class FastServer : public LineConnection::Owner {
   public:
     FastServer(std::size_t tokens, double gap_ms, bool never_answers_prefill)
         : tokens_(tokens),
           gap_{static_cast<std::int64_t>(gap_ms * 1000)},
           never_answers_prefill_(never_answers_prefill),
-          listener_(
-              loop_, Address::parse("127.0.0.1:0"),
-              [this](int fd) { connections_.push_back(Link::accepted(loop_, fd, kLineLimits, *this)); }),
+          listener_(loop_, Address::parse("127.0.0.1:0"),
+                    [this](int fd) {
+                        connections_.push_back(LineConnection::accepted(loop_, fd, kLineLimits, *this));
+                    }),
           pace_timer_(loop_, [this] { step(); }) {}
     void run() {
         std::printf("ready %s\n", listener_.address().text().c_str());
@@ -54,14 +55,14 @@
         if (gap_.us > 0) pace_timer_.set(gap_);
         loop_.run();
     }
-    void line_came(Link& link, std::string_view line) override {
+    void line_received(LineConnection& link, std::string_view line) override {
         auto parsed = rpc::parse(line);
         const auto* m = std::get_if<rpc::Message>(&parsed);
-        if (!m || m->sort != rpc::Sort::call) return;
-        if (m->method == rpc::kInitialize) return link.send(rpc::hello_answer_line(m->id, "fast", "1"));
-        if (m->method == rpc::kPing) return link.send(rpc::result(m->id, Json::object()));
-        if (m->method == rpc::kRead) {
-            if (!never_answers_prefill_) link.send(rpc::read_result_line(m->id, 0, {}));
+        if (!m || m->kind != rpc::MessageKind::request) return;
+        if (m->method == rpc::kInitialize) return link.send(rpc::hello_result_line(m->id, "fast", "1"));
+        if (m->method == rpc::kPing) return link.send(rpc::result_line(m->id, Json::object()));
+        if (m->method == rpc::kPrefill) {
+            if (!never_answers_prefill_) link.send(rpc::prefill_result_line(m->id, 0, {}));
             return;
         }
         if (gap_.us > 0) {
@@ -69,56 +70,58 @@
             return;
         }
         for (std::size_t n = 0; n < tokens_; ++n) token(link, m->id);
-        link.send(rpc::write_result_line(m->id, static_cast<double>(tokens_), 0, {}));
+        link.send(rpc::decode_result_line(m->id, static_cast<double>(tokens_), 0, {}));
     }
-    void link_closed(Link& link, Closing, const std::string&) override {
+    void connection_closed(LineConnection& link, CloseReason, const std::string&) override {
         std::erase_if(running_, [&](const Stream& s) { return s.link == &link; });
     }
 
   private:
     struct Stream {
-        Link* link;
+        LineConnection* link;
         rpc::Id id;
         std::size_t sent;
     };
-    void token(Link& link, const rpc::Id& id) {
-        link.send(rpc::tokens_line(id, std::to_string(machine_clock_us())));
+    void token(LineConnection& link, const rpc::Id& id) {
+        link.send(rpc::tokens_line(id, std::to_string(monotonic_clock_us())));
     }
     void step() {
         // Streams take turns spread over the gap, so that tokens do not arrive in one burst.
-        const std::int64_t now = machine_clock_us();
+        const std::int64_t now = monotonic_clock_us();
         if (started_at_ == 0) started_at_ = now;
         for (Stream& s : running_) {
             token(*s.link, s.id);
             if (++s.sent == tokens_)
-                s.link->send(rpc::write_result_line(s.id, static_cast<double>(tokens_), 0, {}));
+                s.link->send(rpc::decode_result_line(s.id, static_cast<double>(tokens_), 0, {}));
         }
         std::erase_if(running_, [&](const Stream& s) { return s.sent >= tokens_; });
         pace_timer_.set(gap_);
     }
     Loop loop_;
     const std::size_t tokens_;
-    const Span gap_;
+    const Duration gap_;
     const bool never_answers_prefill_;
     Listener listener_;
     Timer pace_timer_;
-    std::vector<std::unique_ptr<Link>> connections_;
+    std::vector<std::unique_ptr<LineConnection>> connections_;
     std::vector<Stream> running_;
     std::int64_t started_at_ = 0;
 };
 
 // ---- the relay: the same codec and connections, without bookkeeping and decisions
 
-class Relay : public Link::Owner {
+class Relay : public LineConnection::Owner {
   public:
     Relay(const std::string& prefill_server, const std::string& decode_server)
         : listener_(loop_, Address::parse("127.0.0.1:0"), [this](int fd) {
-              auto link = Link::accepted(loop_, fd, kLineLimits, *this);
+              auto link = LineConnection::accepted(loop_, fd, kLineLimits, *this);
               clients_[link.get()] = std::move(link);
           }) {
         for (int n = 0; n < 4; ++n) {
-            prefill_servers_.push_back(Link::dial(loop_, Address::parse(prefill_server), kLineLimits, *this));
-            decode_servers_.push_back(Link::dial(loop_, Address::parse(decode_server), kLineLimits, *this));
+            prefill_servers_.push_back(
+                LineConnection::dial(loop_, Address::parse(prefill_server), kLineLimits, *this));
+            decode_servers_.push_back(
+                LineConnection::dial(loop_, Address::parse(decode_server), kLineLimits, *this));
         }
     }
     void run() {
@@ -126,10 +129,10 @@
         std::fflush(stdout);
         loop_.run();
     }
-    void link_made(Link& link) override {
+    void connection_opened(LineConnection& link) override {
         link.send(rpc::hello_line(rpc::Id{std::string("hello")}, {"relay", "z", ""}));
     }
-    void line_came(Link& link, std::string_view line) override {
+    void line_received(LineConnection& link, std::string_view line) override {
         if (const auto tokens = rpc::plain_tokens(line)) {
             const auto it = open_.find(tokens->id);
             if (it != open_.end()) it->second.link->send(rpc::tokens_line(it->second.id, tokens->text));
@@ -138,47 +141,47 @@
         auto parsed = rpc::parse(line);
         const auto* m = std::get_if<rpc::Message>(&parsed);
         if (!m) return;
-        if (m->sort == rpc::Sort::call) {
-            auto read = rpc::read_ask(m->body);
-            if (!std::holds_alternative<rpc::Ask>(read)) return;
+        if (m->kind == rpc::MessageKind::request) {
+            auto read = rpc::read_generate_request(m->body);
+            if (!std::holds_alternative<rpc::GenerateRequest>(read)) return;
             const std::int64_t id = next_++;
-            const rpc::Ask& ask = std::get<rpc::Ask>(read);
+            const rpc::GenerateRequest& request = std::get<rpc::GenerateRequest>(read);
             open_[id] = {&link, m->id};
-            rpc::Order order;
-            order.query = "q";
-            order.state = "s";
-            order.prompt = ask.prompt;
-            order.prompt_tokens = ask.prompt_tokens;
-            order.most_tokens = ask.most_tokens;
+            rpc::AttemptRequest attempt_request;
+            attempt_request.query = "q";
+            attempt_request.state = "s";
+            attempt_request.prompt = request.prompt;
+            attempt_request.prompt_tokens = request.prompt_tokens;
+            attempt_request.max_output_tokens = request.max_output_tokens;
             prefill_servers_[static_cast<std::size_t>(id) % 4]->send(
-                rpc::order_line(rpc::Id{id}, rpc::kRead, order));
+                rpc::attempt_request_line(rpc::Id{id}, rpc::kPrefill, attempt_request));
         } else if (const auto* id = std::get_if<std::int64_t>(&m->id)) {
             const auto it = open_.find(*id);
             if (it == open_.end()) return;
             if (m->body.contains("tokens")) {
-                it->second.link->send(rpc::settled_line(it->second.id, rpc::number_at(m->body, "tokens")));
+                it->second.link->send(rpc::completed_line(it->second.id, rpc::number_or(m->body, "tokens")));
                 open_.erase(it);
                 return;
             }
-            rpc::Order order;
-            order.query = "q";
-            order.state = "s";
-            order.from = "127.0.0.1:1";
+            rpc::AttemptRequest attempt_request;
+            attempt_request.query = "q";
+            attempt_request.state = "s";
+            attempt_request.state_address = "127.0.0.1:1";
             decode_servers_[static_cast<std::size_t>(*id) % 4]->send(
-                rpc::order_line(rpc::Id{*id}, rpc::kWrite, order));
+                rpc::attempt_request_line(rpc::Id{*id}, rpc::kDecode, attempt_request));
         }
     }
-    void link_closed(Link&, Closing, const std::string&) override {}
+    void connection_closed(LineConnection&, CloseReason, const std::string&) override {}
 
   private:
     struct Open {
-        Link* link;
+        LineConnection* link;
         rpc::Id id;
     };
     Loop loop_;
     Listener listener_;
-    std::vector<std::unique_ptr<Link>> prefill_servers_, decode_servers_;
-    std::map<Link*, std::unique_ptr<Link>> clients_;
+    std::vector<std::unique_ptr<LineConnection>> prefill_servers_, decode_servers_;
+    std::map<LineConnection*, std::unique_ptr<LineConnection>> clients_;
     std::unordered_map<std::int64_t, Open> open_;
     std::int64_t next_ = 1;
 };
@@ -191,7 +194,7 @@
     std::size_t completed = 0, failed = 0;
 };
 
-class Load : public Link::Owner {
+class Load : public LineConnection::Owner {
   public:
     // A closed loop with this many open requests, or, with a rate, an open loop.
     Load(const std::string& to, std::size_t open, double rate, double seconds, std::size_t prompt_bytes,
@@ -200,12 +203,12 @@
               tick();
           }) {
         for (int n = 0; n < 16; ++n)
-            connections_.push_back(Link::dial(loop_, Address::parse(to), kLineLimits, *this));
-        ask_.category = "help";
-        ask_.prompt =
+            connections_.push_back(LineConnection::dial(loop_, Address::parse(to), kLineLimits, *this));
+        request_.category = "help";
+        request_.prompt =
             "[{\"type\":\"text\",\"tokens\":500,\"text\":\"" + std::string(prompt_bytes, 'x') + "\"}]";
-        ask_.most_tokens = 20;
-        ask_.budget = Span{60000000};
+        request_.max_output_tokens = 20;
+        request_.time_budget = Duration{60000000};
     }
     LoadResult run() {
         loop_.run();
@@ -227,15 +230,15 @@
         m.token_p99_ms = at(token_delays_ms_, 0.99);
         return m;
     }
-    void link_made(Link&) override {
+    void connection_opened(LineConnection&) override {
         if (++open_connections_ < connections_.size()) return;
-        started_at_ = machine_clock_us();
+        started_at_ = monotonic_clock_us();
         if (rate_ <= 0)
             for (std::size_t n = 0; n < target_open_; ++n) ask();
-        tick_.set(Span{1000});
+        tick_.set(Duration{1000});
     }
-    void line_came(Link&, std::string_view line) override {
-        const std::int64_t now = machine_clock_us();
+    void line_received(LineConnection&, std::string_view line) override {
+        const std::int64_t now = monotonic_clock_us();
         if (const auto tokens = rpc::plain_tokens(line)) {
             const auto it = open_.find(tokens->id);
             if (it == open_.end()) return;
@@ -254,10 +257,10 @@
         if (!m) return;
         const auto* id = std::get_if<std::int64_t>(&m->id);
         if (!id || open_.erase(*id) == 0) return;
-        if (is_measured(now)) ++(m->sort == rpc::Sort::result ? completed_ : failed_);
+        if (is_measured(now)) ++(m->kind == rpc::MessageKind::result ? completed_ : failed_);
         if (rate_ <= 0 && now < end()) ask();
     }
-    void link_closed(Link&, Closing, const std::string& what) override {
+    void connection_closed(LineConnection&, CloseReason, const std::string& what) override {
         std::fprintf(stderr, "closed: %s\n", what.c_str());
     }
     std::size_t open() const { return open_.size(); }
@@ -271,17 +274,17 @@
     }
     void ask() {
         const std::int64_t id = next_++;
-        open_[id] = {machine_clock_us(), false};
-        ask_.session = "s" + std::to_string(id % 5000);
+        open_[id] = {monotonic_clock_us(), false};
+        request_.session = "s" + std::to_string(id % 5000);
         connections_[static_cast<std::size_t>(id) % connections_.size()]->send(
-            rpc::ask_line(rpc::Id{id}, ask_));
+            rpc::generate_request_line(rpc::Id{id}, request_));
     }
     void tick() {
-        const std::int64_t now = machine_clock_us();
+        const std::int64_t now = monotonic_clock_us();
         if (now >= end()) return loop_.stop();
         if (rate_ > 0)
             while (static_cast<double>(next_) < static_cast<double>(now - started_at_) / 1e6 * rate_) ask();
-        tick_.set(Span{1000});
+        tick_.set(Duration{1000});
     }
     struct Open {
         std::int64_t at;
@@ -291,8 +294,8 @@
     const double rate_, seconds_, warm_up_s_;
     const std::size_t target_open_;
     Timer tick_;
-    std::vector<std::unique_ptr<Link>> connections_;
-    rpc::Ask ask_;
+    std::vector<std::unique_ptr<LineConnection>> connections_;
+    rpc::GenerateRequest request_;
     std::size_t open_connections_ = 0, completed_ = 0, failed_ = 0;
     std::uint64_t tokens_ = 0;
     std::int64_t started_at_ = 0, next_ = 1;
@@ -387,22 +390,22 @@
 
     Child make_roster(const Child& prefill_server, const Child& decode_server) {
         Child roster = start({copperfront, "standin", "roster"}, 0);
-        struct RosterClient : Link::Owner {
+        struct RosterClient : LineConnection::Owner {
             Loop loop;
             std::string line;
-            void link_made(Link& link) override { link.send(line); }
-            void line_came(Link&, std::string_view) override { loop.stop(); }
-            void link_closed(Link&, Closing, const std::string&) override { loop.stop(); }
+            void connection_opened(LineConnection& link) override { link.send(line); }
+            void line_received(LineConnection&, std::string_view) override { loop.stop(); }
+            void connection_closed(LineConnection&, CloseReason, const std::string&) override { loop.stop(); }
         } roster_client;
-        const auto update =
-            rpc::news_json({1,
-                            false,
-                            {{prefill_server.address, "r", "reader", "z", "a", 0, Standing::ready},
-                             {decode_server.address, "w", "writer", "z", "a", 0, Standing::ready}}});
+        const auto update = rpc::roster_update_json(
+            {1,
+             false,
+             {{prefill_server.address, "r", "reader", "z", "a", 0, ServerStatus::ready},
+              {decode_server.address, "w", "writer", "z", "a", 0, ServerStatus::ready}}});
         roster_client.line =
-            rpc::call(rpc::Id{std::int64_t{1}}, "roster/set", {{"servers", update["servers"]}});
-        auto link =
-            Link::dial(roster_client.loop, Address::parse(roster.address), kLineLimits, roster_client);
+            rpc::request_line(rpc::Id{std::int64_t{1}}, "roster/set", {{"servers", update["servers"]}});
+        auto link = LineConnection::dial(roster_client.loop, Address::parse(roster.address), kLineLimits,
+                                         roster_client);
         roster_client.loop.run();
         return roster;
     }
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -45,7 +45,7 @@
 // Returns the rows of a day as a gateway writes them: ordered by time, though requests overlap.
 class TimeOrderedRows {
   public:
-    explicit TimeOrderedRows(RandomDay& day) : day_(day) {}
+    explicit TimeOrderedRows(RandomRows& day) : day_(day) {}
     const Row& next() {
         std::vector<Row> rows;
         while (heap_.empty() || heap_.top().at() > day_.now()) {
@@ -61,7 +61,7 @@
     struct Later {
         bool operator()(const Row& a, const Row& b) const { return a.at() > b.at(); }
     };
-    RandomDay& day_;
+    RandomRows& day_;
     std::priority_queue<Row, std::vector<Row>, Later> heap_;
     Row row_;
 };
@@ -79,14 +79,14 @@
 
 // Writes a day of requests to one file, and prints its size and that of its JSON lines.
 void write_day(const std::string& path, std::uint64_t requests, std::uint64_t sessions) {
-    Pool pool;
-    RandomDay day(pool, 7, "g1", 1'764'600'000'000'000,
-                  static_cast<std::int64_t>(86400e6 / static_cast<double>(requests)));
+    StringTable pool;
+    RandomRows day(pool, 7, "g1", 1'764'600'000'000'000,
+                   static_cast<std::int64_t>(86400e6 / static_cast<double>(requests)));
     day.sessions = sessions;
     TimeOrderedRows rows(day);
     RealDisk disk;
     std::string why;
-    FileWriter writer(disk.create(path, why), Header::of(kNewest, "g1.18f3a", "north", 0));
+    FileWriter writer(disk.create(path, why), Header::of(kNewestVersion, "g1.18f3a", "north", 0));
     RowSink sink(writer, pool);
     JsonLines lines(pool);
     std::string json;
@@ -110,7 +110,7 @@
         batch.clear();
         for (int n = 0; n < 4096; ++n) {
             batch.push_back(rows.next());
-            if (batch.back().table == Table::queries && ++ended == requests) break;
+            if (batch.back().table == Table::requests && ++ended == requests) break;
         }
         count += batch.size();
         const double started_at = cpu_seconds();
@@ -156,21 +156,21 @@
     };
     const auto file = open_or_exit(path);
     print_row("open, " + std::to_string(file->index().blocks.size()) + " blocks");
-    Pool pool;
-    Wanted minute;
+    StringTable pool;
+    RowFilter minute;
     minute.from = 1'764'600'000'000'000 + 12 * 3600'000'000LL;
     minute.until = minute.from + 60'000'000;
     std::uint64_t rows = 0;
     CutResult result = cut({file.get()}, minute, pool, [&](const Row&) { return ++rows > 0; });
     print_row("cut of one minute: " + std::to_string(rows) + " rows from " +
               std::to_string(result.blocks_read) + " blocks");
-    Summary summary(By::category);
+    Summary summary(GroupBy::category);
     cut({file.get()}, {}, pool, [&](const Row& row) {
         summary.add(row, pool);
         return true;
     });
     print_row("summary of all");
-    const Found found = rows_of({file.get()}, {"g1.18f3a", 500000}, pool);
+    const RequestRows found = find_request({file.get()}, {"g1.18f3a", 500000}, pool);
     print_row("one query's story: " + std::to_string(found.rows.size()) + " rows from " +
               std::to_string(found.blocks_read) + " blocks");
     std::string why;
@@ -242,20 +242,20 @@
 void merge_many(const std::string& folder, std::uint64_t requests) {
     std::vector<std::string> paths;
     for (int g = 0; g < 64; ++g) {
-        Pool pool;
-        RandomDay day(pool, static_cast<std::uint32_t>(g + 1), "g" + std::to_string(g), 1'764'600'000'000'000,
-                      200000);
+        StringTable pool;
+        RandomRows day(pool, static_cast<std::uint32_t>(g + 1), "g" + std::to_string(g),
+                       1'764'600'000'000'000, 200000);
         TimeOrderedRows rows(day);
         RealDisk disk;
         std::string why;
         paths.push_back(folder + "/g" + std::to_string(g) + ".cft");
         FileWriter writer(disk.create(paths.back(), why),
-                          Header::of(kNewest, "g" + std::to_string(g) + ".1", "z", 0));
+                          Header::of(kNewestVersion, "g" + std::to_string(g) + ".1", "z", 0));
         RowSink sink(writer, pool);
         writer.start(why);
         for (std::uint64_t ended = 0; ended < requests;) {
             const Row& row = rows.next();
-            ended += row.table == Table::queries;
+            ended += row.table == Table::requests;
             sink.put(row, why);
         }
         sink.flush(why);
@@ -270,11 +270,11 @@
         inputs.push_back({files.back().get(), 0});
         bytes += files.back()->size();
     }
-    Pool pool;
+    StringTable pool;
     Merger merger(inputs, pool);
     RealDisk disk;
     std::string why;
-    FileWriter writer(disk.create(folder + "/all.cft", why), Header::of(kNewest, "", "", 0));
+    FileWriter writer(disk.create(folder + "/all.cft", why), Header::of(kNewestVersion, "", "", 0));
     RowSink sink(writer, pool);
     writer.start(why);
     std::uint64_t rows = 0;
@@ -291,10 +291,10 @@
 void recorder_cost(const std::string& folder) {
     RealDisk disk;
     Instant now{1'764'600'000'000'000};
-    KeepingTerms terms;
-    terms.queue = 100000;
-    Pool pool;
-    RandomDay day(pool, 5);
+    StorageTerms terms;
+    terms.max_queued_batches = 100000;
+    StringTable pool;
+    RandomRows day(pool, 5);
     std::vector<Row> rows, one;
     std::uint64_t requests = 0;
     while (rows.size() < 200000) {
--- a/fuzz/rpc_fuzz.cpp
+++ b/fuzz/rpc_fuzz.cpp
@@ -22,48 +22,53 @@
     const std::string line(reinterpret_cast<const char*>(data), size);
     auto parsed = rpc::parse(line);
     const auto fast_result = rpc::plain_tokens(line);
-    if (const auto* bad = std::get_if<rpc::BadMessage>(&parsed)) {
+    if (const auto* bad = std::get_if<rpc::InvalidMessage>(&parsed)) {
         require(!bad->text.empty());
         return 0;
     }
     const auto& m = std::get<rpc::Message>(parsed);
     if (fast_result) {
-        require(m.sort == rpc::Sort::notice && m.method == rpc::kTokens);
+        require(m.kind == rpc::MessageKind::notification && m.method == rpc::kTokens);
         require(m.body.at("requestId") == fast_result->id && m.body.at("text") == fast_result->text);
     }
     for (const bool is_prefill : {false, true}) {
-        const Outcome o = rpc::read_outcome(m, is_prefill);
-        require(std::isfinite(o.kept_tokens));
+        const AttemptOutcome o = rpc::read_outcome(m, is_prefill);
+        require(std::isfinite(o.cached_tokens));
     }
-    const LoadReport report = rpc::read_report(m.body);
-    require(std::isfinite(report.memory_share) && std::isfinite(report.unread_thousands));
+    const LoadReport report = rpc::read_load_report(m.body);
+    require(std::isfinite(report.memory_share) && std::isfinite(report.queued_kilotokens));
     // A message that is parsed, written and parsed again is the same: nothing is lost on its way to a server.
-    if (const auto ask = rpc::read_ask(m.body); std::holds_alternative<rpc::Ask>(ask)) {
-        const auto& first = std::get<rpc::Ask>(ask);
-        const auto reparsed = rpc::parse(rpc::ask_line(rpc::Id{std::int64_t{1}}, first));
+    if (const auto request = rpc::read_generate_request(m.body);
+        std::holds_alternative<rpc::GenerateRequest>(request)) {
+        const auto& first = std::get<rpc::GenerateRequest>(request);
+        const auto reparsed = rpc::parse(rpc::generate_request_line(rpc::Id{std::int64_t{1}}, first));
         const auto* reparsed_message = std::get_if<rpc::Message>(&reparsed);
         require(reparsed_message != nullptr);
-        const auto second = rpc::read_ask(reparsed_message->body);
-        require(std::holds_alternative<rpc::Ask>(second));
-        require(std::get<rpc::Ask>(second).category == first.category);
-        require(std::get<rpc::Ask>(second).budget == first.budget);
-        require(std::get<rpc::Ask>(second).attributes == first.attributes);
+        const auto second = rpc::read_generate_request(reparsed_message->body);
+        require(std::holds_alternative<rpc::GenerateRequest>(second));
+        require(std::get<rpc::GenerateRequest>(second).category == first.category);
+        require(std::get<rpc::GenerateRequest>(second).time_budget == first.time_budget);
+        require(std::get<rpc::GenerateRequest>(second).attributes == first.attributes);
     }
-    if (const auto order = rpc::read_order(m.body); std::holds_alternative<rpc::Order>(order)) {
-        const auto& first = std::get<rpc::Order>(order);
-        const auto reparsed = rpc::parse(rpc::order_line(rpc::Id{std::int64_t{1}}, rpc::kWrite, first));
+    if (const auto attempt_request = rpc::read_attempt_request(m.body);
+        std::holds_alternative<rpc::AttemptRequest>(attempt_request)) {
+        const auto& first = std::get<rpc::AttemptRequest>(attempt_request);
+        const auto reparsed =
+            rpc::parse(rpc::attempt_request_line(rpc::Id{std::int64_t{1}}, rpc::kDecode, first));
         const auto* reparsed_message = std::get_if<rpc::Message>(&reparsed);
         require(reparsed_message != nullptr);
-        const auto second = rpc::read_order(reparsed_message->body);
-        require(std::holds_alternative<rpc::Order>(second));
-        require(std::get<rpc::Order>(second).query == first.query &&
-                std::get<rpc::Order>(second).state == first.state);
+        const auto second = rpc::read_attempt_request(reparsed_message->body);
+        require(std::holds_alternative<rpc::AttemptRequest>(second));
+        require(std::get<rpc::AttemptRequest>(second).query == first.query &&
+                std::get<rpc::AttemptRequest>(second).state == first.state);
     }
-    if (const auto news = rpc::read_news(m.body); std::holds_alternative<rpc::RosterNews>(news)) {
-        const auto second = rpc::read_news(rpc::news_json(std::get<rpc::RosterNews>(news)));
-        require(std::holds_alternative<rpc::RosterNews>(second));
-        require(std::get<rpc::RosterNews>(second).entries.size() ==
-                std::get<rpc::RosterNews>(news).entries.size());
+    if (const auto update = rpc::read_roster_update(m.body);
+        std::holds_alternative<rpc::RosterUpdate>(update)) {
+        const auto second =
+            rpc::read_roster_update(rpc::roster_update_json(std::get<rpc::RosterUpdate>(update)));
+        require(std::holds_alternative<rpc::RosterUpdate>(second));
+        require(std::get<rpc::RosterUpdate>(second).entries.size() ==
+                std::get<rpc::RosterUpdate>(update).entries.size());
     }
     rpc::read_hello(m.body);
     return 0;
--- a/fuzz/terms_fuzz.cpp
+++ b/fuzz/terms_fuzz.cpp
@@ -28,7 +28,7 @@
     admission.change(limits, terms.core.gateways, Instant{1});
     Instant now{1};
     for (int n = 0; n < 50; ++n) {
-        RouteQuery request;
+        RouteRequest request;
         request.category = static_cast<std::uint32_t>(chance() % terms.core.categories.size());
         if (terms.client_groups.size() > 0 && n % 2)
             request.client_group = static_cast<std::uint32_t>(chance() % terms.client_groups.size());
@@ -38,13 +38,14 @@
         request.prompt_tokens = static_cast<double>(chance() % 20000);
         const std::uint32_t route = terms.table.find(request);
         require(route == terms.table.scan(request) && route < terms.routes.size());
-        now = now + Span{static_cast<std::int64_t>(chance() % 100000)};
-        if (admission.query_came(route, request.prompt_tokens, n % 3 == 0, now).why != Refusal::none)
+        now = now + Duration{static_cast<std::int64_t>(chance() % 100000)};
+        if (admission.request_arrived(route, request.prompt_tokens, n % 3 == 0, now).why !=
+            RejectReason::none)
             continue;
         require(!limits[route].closed);
-        admission.began(route, Span{1000}, now);
-        admission.query_over(route, request.prompt_tokens, true, now);
-        require(admission.counts(route).in_hand == 0);
+        admission.stream_began(route, Duration{1000}, now);
+        admission.request_ended(route, request.prompt_tokens, true, now);
+        require(admission.counts(route).in_flight == 0);
     }
 }
 
@@ -52,12 +53,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     GatewayTerms terms;
-    std::vector<Fault> faults;
+    std::vector<Diagnostic> diagnostics;
     const std::string text(reinterpret_cast<const char*>(data), size);
-    if (read_terms(text, {}, terms, faults))
+    if (read_terms(text, {}, terms, diagnostics))
         use_terms(terms, static_cast<std::uint32_t>(size));
     else
-        require(!faults.empty());
-    for (const Fault& f : faults) require(f.line >= 0 && !f.what.empty());
+        require(!diagnostics.empty());
+    for (const Diagnostic& f : diagnostics) require(f.line >= 0 && !f.message.empty());
     return 0;
 }
--- a/fuzz/trace_fuzz.cpp
+++ b/fuzz/trace_fuzz.cpp
@@ -40,12 +40,12 @@
         return static_cast<std::size_t>(v);
     };
     if (bytes.size() >= 16 && u32(12) < bytes.size()) put(0, 16, 16, u32(12));
-    for (std::size_t at = 0; at + kBlockHead <= bytes.size(); ++at) {
+    for (std::size_t at = 0; at + kBlockHeaderSize <= bytes.size(); ++at) {
         const std::string_view magic = std::string_view(bytes).substr(at, 8);
-        if (magic == kBlockMark && u32(at + 32) < bytes.size())
-            put(at, kBlockHead - 8, at + kBlockHead, u32(at + 32));
-        if (magic == kFooterMark && u32(at + 8) < bytes.size())
-            put(at, kFooterHead - 8, at + kFooterHead, u32(at + 8));
+        if (magic == kBlockMagic && u32(at + 32) < bytes.size())
+            put(at, kBlockHeaderSize - 8, at + kBlockHeaderSize, u32(at + 32));
+        if (magic == kFooterMagic && u32(at + 8) < bytes.size())
+            put(at, kFooterHeaderSize - 8, at + kFooterHeaderSize, u32(at + 8));
     }
 }
 
@@ -54,20 +54,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     std::string bytes(reinterpret_cast<const char*>(data), size), why;
     if (size > 0 && bytes.back() % 2 == 0) set_checksums(bytes);
-    const auto file = TraceFile::open(std::make_unique<TextSource>(bytes), "x", why);
+    const auto file = TraceFile::open(std::make_unique<MemorySource>(bytes), "x", why);
     if (!file) {
         require(!why.empty());
         return 0;
     }
-    Pool pool;
+    StringTable pool;
     JsonLines lines(pool);
-    Summary summary(By::minute);
+    Summary summary(GroupBy::minute);
     std::uint64_t rows_read = 0;
     const CutResult result = cut({file.get()}, {}, pool, [&](const Row& row) {
         ++rows_read;
         std::string text;
         lines.append(row, text);
-        require(!sentence(row, pool).empty());
+        require(!describe(row, pool).empty());
         summary.add(row, pool);
         Row read_back;
         // Strings that are not valid UTF-8 come back with replacement characters; everything else is
@@ -76,10 +76,10 @@
                 read_back.at() == row.at());
         return rows_read < 2000;
     });
-    for (const std::string& trouble : result.troubles) require(!trouble.empty());
+    for (const std::string& error : result.errors) require(!error.empty());
     require(!summary.json().empty());
-    const Found found = rows_of({file.get()}, {"", 1}, pool);
-    story(found.rows, pool);
+    const RequestRows found = find_request({file.get()}, {"", 1}, pool);
+    explain_request(found.rows, pool);
     Merger merger({{file.get(), 0}, {file.get(), 0}}, pool);
     std::int64_t before = INT64_MIN;
     std::uint64_t merged = 0;
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -538,7 +538,7 @@
 
 std::string json_of(const Report& r) {
     using Json = nlohmann::json;
-    Json out = {{"clean", r.clean()},
+    Json out = {{"clean", r.passed()},
                 {"longest_pinned_ms", ms(r.longest_held)},
                 {"latest_ms", ms(r.latest_answer)},
                 {"read_work", r.prefill_work},
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -46,7 +46,7 @@
     Timestamp longest_held = 0, latest_answer = 0;
     std::vector<std::string> notes, gaps;
     // A verdict requires complete records, so gaps prevent a pass.
-    bool clean() const { return breaches.empty() && gaps.empty(); }
+    bool passed() const { return breaches.empty() && gaps.empty(); }
 };
 
 Report check(const History& history);
--- a/src/audit/decisions.cpp
+++ b/src/audit/decisions.cpp
@@ -9,7 +9,7 @@
 
 namespace copperfront::audit {
 
-void add_decisions(Report& report, const std::string& folder, std::size_t max_per_rule) {
+void add_explanations(Report& report, const std::string& folder, std::size_t max_per_rule) {
     if (report.breaches.empty()) return;
     std::vector<std::unique_ptr<trace::TraceFile>> files;
     std::vector<const trace::TraceFile*> file_pointers;
@@ -31,11 +31,11 @@
         if (explained[breach.rule] >= max_per_rule || !trace::parse_request_name(breach.trace_name, name) ||
             name.origin.empty())
             continue;
-        trace::Pool pool;
-        const trace::Found found = trace::rows_of(file_pointers, name, pool);
-        breach.explanation = trace::story(found.rows, pool);
+        trace::StringTable pool;
+        const trace::RequestRows found = trace::find_request(file_pointers, name, pool);
+        breach.explanation = trace::explain_request(found.rows, pool);
         if (!breach.explanation.empty()) ++explained[breach.rule];
-        for (const std::string& error : found.troubles) report.notes.push_back("trace " + error);
+        for (const std::string& error : found.errors) report.notes.push_back("trace " + error);
     }
 }
 
--- a/src/audit/decisions.h
+++ b/src/audit/decisions.h
@@ -10,6 +10,6 @@
 
 // Adds the explanation of its request to each breach that has one in the traces of this folder, for at most
 // `max_per_rule` breaches of each rule. Errors in reading traces are added to the notes of the report.
-void add_decisions(Report& report, const std::string& folder, std::size_t max_per_rule = 5);
+void add_explanations(Report& report, const std::string& folder, std::size_t max_per_rule = 5);
 
 }  // namespace copperfront::audit
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -52,8 +52,9 @@
     // the new one anyway.
     ::signal(SIGHUP, SIG_IGN);
     GatewayTerms terms;
-    std::vector<Fault> faults;
-    if (!read_terms_file(file, overrides, terms, faults)) return complain(text_of(file, faults));
+    std::vector<Diagnostic> diagnostics;
+    if (!read_terms_file(file, overrides, terms, diagnostics))
+        return print_error(format_diagnostics(file, diagnostics));
     try {
         Log log(terms.logging.level, terms.logging.form, terms.logging.file, terms.logging.file_bytes,
                 terms.logging.files);
@@ -62,54 +63,54 @@
         Gateway gateway(loop, terms, gateway_seed, log);
         if (!shadow_file.empty()) {
             GatewayTerms shadow_terms;
-            std::vector<Fault> shadow_faults;
-            if (!read_terms_file(shadow_file, overrides, shadow_terms, shadow_faults) ||
-                !gateway.watch(shadow_terms, shadow_faults, gateway_seed))
-                return complain(text_of(shadow_file, shadow_faults));
+            std::vector<Diagnostic> shadow_diagnostics;
+            if (!read_terms_file(shadow_file, overrides, shadow_terms, shadow_diagnostics) ||
+                !gateway.start_shadow_evaluation(shadow_terms, shadow_diagnostics, gateway_seed))
+                return print_error(format_diagnostics(shadow_file, shadow_diagnostics));
         }
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { gateway.stop(); });
-        loop.on_signal(SIGHUP, [&] { gateway.reload_aside(file, overrides); });
+        loop.on_signal(SIGHUP, [&] { gateway.reload_in_background(file, overrides); });
         print_ready(gateway.address());
         loop.run();
     } catch (const std::exception& error) {
-        return complain(error.what(), kBroken);
+        return print_error(error.what(), kFailure);
     }
-    return kWell;
+    return kSuccess;
 }
 
 // Options of a fake model server.
 struct FakeServerOptions {
-    standin::EngineShape shape;
-    standin::EngineIdentity identity;
+    fake_server::ModelServerProfile shape;
+    fake_server::FakeModelServerOptions identity;
     double warm_up_ms = 0, overload_window_ms = 0;
     std::string reports = "none";
 };
 
 int run_fake_server(const FakeServerOptions& o, Role role) {
-    standin::EngineShape shape = o.shape;
+    fake_server::ModelServerProfile shape = o.shape;
     shape.role = role;
-    shape.warm_in = {static_cast<std::int64_t>(o.warm_up_ms * 1000)};
-    shape.fall = {static_cast<std::int64_t>(o.overload_window_ms * 1000)};
-    standin::EngineIdentity identity = o.identity;
-    identity.reports = o.reports == "inline"     ? standin::Reports::inline_
-                       : o.reports == "on-probe" ? standin::Reports::on_probe
-                                                 : standin::Reports::none;
+    shape.warm_up_time = {static_cast<std::int64_t>(o.warm_up_ms * 1000)};
+    shape.overload_window = {static_cast<std::int64_t>(o.overload_window_ms * 1000)};
+    fake_server::FakeModelServerOptions identity = o.identity;
+    identity.reports = o.reports == "inline"     ? fake_server::LoadReportMode::inline_
+                       : o.reports == "on-probe" ? fake_server::LoadReportMode::on_probe
+                                                 : fake_server::LoadReportMode::none;
     try {
         Loop loop;
-        standin::EngineServer server(loop, shape, identity);
+        fake_server::FakeModelServer server(loop, shape, identity);
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { server.stop(); });
-        std::printf("born %lld\n", static_cast<long long>(server.born_ms()));
+        std::printf("born %lld\n", static_cast<long long>(server.started_at_ms()));
         print_ready(server.address());
         loop.run();
     } catch (const std::exception& error) {
-        return complain(error.what(), kBroken);
+        return print_error(error.what(), kFailure);
     }
-    return kWell;
+    return kSuccess;
 }
 
 }  // namespace
 
-int complain(const std::string& what, int code) {
+int print_error(const std::string& what, int code) {
     std::cerr << "copperfront: " << what << std::endl;
     return code;
 }
@@ -141,12 +142,13 @@
     sub->callback([=, &command] {
         command = [=] {
             GatewayTerms terms;
-            std::vector<Fault> faults;
-            if (!read_terms_file(*file, *overrides, terms, faults)) return complain(text_of(*file, faults));
+            std::vector<Diagnostic> diagnostics;
+            if (!read_terms_file(*file, *overrides, terms, diagnostics))
+                return print_error(format_diagnostics(*file, diagnostics));
             if (*effective) std::printf("%s", effective_text(terms).c_str());
             std::printf("%s: well; %zu categories, %zu kinds, %zu zones\n", file->c_str(),
                         terms.categories.size(), terms.kinds.size(), terms.zones.size());
-            return kWell;
+            return kSuccess;
         };
     });
 }
@@ -165,15 +167,16 @@
     sub->callback([=, &command] {
         command = [=] {
             GatewayTerms terms;
-            std::vector<Fault> faults;
-            if (!read_terms_file(*file, *overrides, terms, faults)) return complain(text_of(*file, faults));
-            RouteQuery route_request;
+            std::vector<Diagnostic> diagnostics;
+            if (!read_terms_file(*file, *overrides, terms, diagnostics))
+                return print_error(format_diagnostics(*file, diagnostics));
+            RouteRequest route_request;
             route_request.listener = 0;
             for (const std::string& m : *match) {
                 const std::size_t eq = m.find('=');
-                if (eq == std::string::npos) return complain("--match " + m + ": expected NAME=VALUE");
+                if (eq == std::string::npos) return print_error("--match " + m + ": expected NAME=VALUE");
                 const std::string key = m.substr(0, eq), value = m.substr(eq + 1);
-                const auto look_up = [&](const Names& names, std::uint32_t& index) {
+                const auto look_up = [&](const NameTable& names, std::uint32_t& index) {
                     const std::uint32_t* known = names.find(value);
                     if (known) index = *known;
                     return known != nullptr;
@@ -191,22 +194,24 @@
                 else if (const std::uint32_t* known = terms.attributes.find(m))
                     route_request.attributes.push_back(*known);
                 if (!is_known && key == "prompt")
-                    return complain("--match " + m + ": expected a number of tokens");
-                if (!is_known) return complain("--match " + m + ": no such " + key + " in " + *file);
+                    return print_error("--match " + m + ": expected a number of tokens");
+                if (!is_known) return print_error("--match " + m + ": no such " + key + " in " + *file);
             }
             std::sort(route_request.attributes.begin(), route_request.attributes.end());
-            const std::vector<std::uint32_t> matches = terms.table.all_that_fit(route_request);
+            const std::vector<std::uint32_t> matches = terms.table.all_matches(route_request);
             for (std::size_t n = 0; n < matches.size(); ++n) {
                 const RouteTerms& r = terms.routes[matches[n]];
-                std::string asks;
-                for (const std::string& a : r.asks) asks += (asks.empty() ? "" : " and ") + a;
+                std::string joined_conditions;
+                for (const std::string& a : r.conditions)
+                    joined_conditions += (joined_conditions.empty() ? "" : " and ") + a;
                 std::printf("%s %s: %d conditions%s%s\n", n == 0 ? "takes" : "fits ", r.name.c_str(),
-                            conditions(r.match), asks.empty() ? "" : ", ", asks.c_str());
+                            condition_count(r.match), joined_conditions.empty() ? "" : ", ",
+                            joined_conditions.c_str());
             }
             std::printf(
                 "More conditions go first; then those that name a category, a client group, a listener, more "
                 "attributes, a narrower prompt size; then the first in the file.\n");
-            return kWell;
+            return kSuccess;
         };
     });
 }
@@ -218,8 +223,8 @@
         command = [] {
             std::printf(
                 "# Terms file\n\nMade by `copperfront terms` from the table that the checks use.\n\n%s",
-                describe(terms_schema()).c_str());
-            return kWell;
+                schema_reference(terms_schema()).c_str());
+            return kSuccess;
         };
     });
 }
@@ -228,10 +233,10 @@
     auto* sub = app.add_subcommand("standin", "Run a stand-in of an engine or of the roster until SIGTERM");
     sub->require_subcommand(1);
     for (const auto& [name, role] :
-         {std::pair{"reader", Role::reader}, {"writer", Role::writer}, {"mixed", Role::mixed}}) {
+         {std::pair{"reader", Role::prefill}, {"writer", Role::decode}, {"mixed", Role::mixed}}) {
         auto* server_command = sub->add_subcommand(name, std::string("A stand-in engine: ") + name);
         auto o = std::make_shared<FakeServerOptions>();
-        if (role != Role::reader) o->shape.slots = 48;
+        if (role != Role::prefill) o->shape.slots = 48;
         server_command->add_option("--name", o->identity.name, "its name in records")->required();
         server_command->add_option("--zone", o->identity.zone, "the zone it stands in");
         server_command->add_option("--cell", o->identity.cell, "the cell it stands in");
@@ -243,11 +248,12 @@
             ->check(CLI::IsMember({"none", "inline", "on-probe"}))
             ->capture_default_str();
         server_command->add_option("--slots", o->shape.slots, "queries at once")->capture_default_str();
-        server_command->add_option("--queue", o->shape.queue, "queries that may wait")->capture_default_str();
+        server_command->add_option("--queue", o->shape.queue_capacity, "queries that may wait")
+            ->capture_default_str();
         server_command->add_option("--memory", o->shape.memory_tokens, "tokens")->capture_default_str();
-        server_command->add_option("--kept", o->shape.kept_tokens, "tokens of texts kept")
+        server_command->add_option("--kept", o->shape.cache_capacity_tokens, "tokens of texts kept")
             ->capture_default_str();
-        server_command->add_option("--read-rate", o->shape.read_per_s, "prompt tokens a second")
+        server_command->add_option("--read-rate", o->shape.prefill_tokens_per_s, "prompt tokens a second")
             ->capture_default_str();
         server_command->add_option("--step-ms", o->shape.step_ms, "ms for a token of every stream")
             ->capture_default_str();
@@ -255,14 +261,17 @@
             ->add_option("--step-ms-per-stream", o->shape.step_ms_per_stream, "ms more for each stream")
             ->capture_default_str();
         server_command
-            ->add_option("--fetch-rate", o->identity.fetch_per_s, "tokens of a state moved a second")
+            ->add_option("--fetch-rate", o->identity.transfer_tokens_per_s,
+                         "tokens of a state moved a second")
             ->capture_default_str();
         server_command->add_flag("--cold", o->identity.cold, "has just started: slow at first");
-        server_command->add_option("--cold-from", o->shape.cold_from, "share of its speed at the start")
+        server_command
+            ->add_option("--cold-from", o->shape.cold_speed_share, "share of its speed at the start")
             ->capture_default_str();
         server_command->add_option("--warm-ms", o->warm_up_ms, "until it is warm")->capture_default_str();
         server_command
-            ->add_option("--tip-multiple", o->shape.tip_multiple, "falls over past this multiple; 0: never")
+            ->add_option("--tip-multiple", o->shape.overload_multiple,
+                         "falls over past this multiple; 0: never")
             ->capture_default_str();
         server_command->add_option("--fall-ms", o->overload_window_ms, "for this long")
             ->capture_default_str();
@@ -272,7 +281,7 @@
     add_fake_platform_command(*sub, command);
     add_model_server_command(*sub, command);
     auto* roster = sub->add_subcommand("roster", "A stand-in roster; its list is set by the call roster/set");
-    auto identity = std::make_shared<standin::RosterIdentity>();
+    auto identity = std::make_shared<fake_server::FakeRosterOptions>();
     auto min_delay_ms = std::make_shared<double>(200), max_delay_ms = std::make_shared<double>(1000);
     roster->add_option("--listen", identity->listen, "loopback address")->capture_default_str();
     roster->add_option("--record", identity->record, "file for the record of its sockets");
@@ -283,18 +292,18 @@
     roster->add_option("--most-delay-ms", *max_delay_ms, "and this late at the most")->capture_default_str();
     roster->callback([=, &command] {
         command = [=] {
-            identity->least_delay = {static_cast<std::int64_t>(*min_delay_ms * 1000)};
-            identity->most_delay = {static_cast<std::int64_t>(*max_delay_ms * 1000)};
+            identity->min_delay = {static_cast<std::int64_t>(*min_delay_ms * 1000)};
+            identity->max_delay = {static_cast<std::int64_t>(*max_delay_ms * 1000)};
             try {
                 Loop loop;
-                standin::RosterServer server(loop, *identity);
+                fake_server::FakeRoster server(loop, *identity);
                 for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { server.stop(); });
                 print_ready(server.address());
                 loop.run();
             } catch (const std::exception& error) {
-                return complain(error.what(), kBroken);
+                return print_error(error.what(), kFailure);
             }
-            return kWell;
+            return kSuccess;
         };
     });
 }
@@ -303,7 +312,7 @@
     auto* sub = app.add_subcommand("callers", "The callers of one zone; started by `day`");
     sub->group("");
     auto script = std::make_shared<std::string>();
-    auto options = std::make_shared<day::ClientOptions>();
+    auto options = std::make_shared<scenario::ClientOptions>();
     auto gateways = std::make_shared<std::vector<std::string>>();
     sub->add_option("SCRIPT", *script)->required();
     sub->add_option("--zone", options->zone)->required();
@@ -312,30 +321,30 @@
     sub->add_option("--gateway", *gateways, "NAME=ADDRESS")->required();
     sub->callback([=, &command] {
         command = [=] {
-            day::Scenario s;
+            scenario::Scenario s;
             GatewayTerms terms;
-            std::vector<Fault> faults;
-            if (!day::read_scenario_file(*script, s, terms, faults))
-                return complain(text_of(*script, faults));
+            std::vector<Diagnostic> diagnostics;
+            if (!scenario::read_scenario_file(*script, s, terms, diagnostics))
+                return print_error(format_diagnostics(*script, diagnostics));
             for (const std::string& g : *gateways) {
                 const std::size_t separator = g.find('=');
                 if (separator == std::string::npos)
-                    return complain("--gateway " + g + ": expected NAME=ADDRESS");
+                    return print_error("--gateway " + g + ": expected NAME=ADDRESS");
                 options->gateways.emplace_back(g.substr(0, separator), g.substr(separator + 1));
             }
             try {
-                day::run_clients(s, terms, *options);
+                scenario::run_clients(s, terms, *options);
             } catch (const std::exception& error) {
-                return complain(error.what(), kBroken);
+                return print_error(error.what(), kFailure);
             }
-            return kWell;
+            return kSuccess;
         };
     });
 }
 
 void add_scenario_command(CLI::App& app, Command& command) {
     auto* sub = app.add_subcommand("day", "Play a day over real sockets, and audit what its peers saw");
-    auto options = std::make_shared<day::RunOptions>();
+    auto options = std::make_shared<scenario::RunOptions>();
     auto json = std::make_shared<bool>(false), print_keys = std::make_shared<bool>(false);
     sub->add_option("SCRIPT", options->script, "day script");
     sub->add_option("--keep", options->folder,
@@ -351,11 +360,11 @@
                 std::printf(
                     "# Day scripts\n\nMade by `copperfront day --keys` from the table that the checks "
                     "use.\n\n%s",
-                    describe(day::scenario_schema()).c_str());
-                return kWell;
+                    schema_reference(scenario::scenario_schema()).c_str());
+                return kSuccess;
             }
             if (options->script.empty())
-                return complain("day: a SCRIPT is wanted; see copperfront day --help");
+                return print_error("day: a SCRIPT is wanted; see copperfront day --help");
             const bool keep = !options->folder.empty();
             if (!keep)
                 options->folder =
@@ -363,16 +372,17 @@
                         .string();
             options->program = std::filesystem::read_symlink("/proc/self/exe").string();
             try {
-                const audit::Report report = day::run_scenario(*options);
+                const audit::Report report = scenario::run_scenario(*options);
                 std::printf("%s", (*json ? audit::json_of(report) + "\n" : audit::text_of(report)).c_str());
-                if (report.clean() && !keep) std::filesystem::remove_all(options->folder);
-                if (!report.clean())
-                    return complain("the day is not clean; its records are in " + options->folder, kBroken);
-                return kWell;
+                if (report.passed() && !keep) std::filesystem::remove_all(options->folder);
+                if (!report.passed())
+                    return print_error("the day is not clean; its records are in " + options->folder,
+                                       kFailure);
+                return kSuccess;
             } catch (const std::invalid_argument& error) {
-                return complain(error.what());
+                return print_error(error.what());
             } catch (const std::exception& error) {
-                return complain(error.what(), kBroken);
+                return print_error(error.what(), kFailure);
             }
         };
     });
@@ -388,11 +398,11 @@
         command = [=] {
             try {
                 audit::Report report = audit::check(audit::read_history(*folder));
-                audit::add_decisions(report, *folder + "/traces");
+                audit::add_explanations(report, *folder + "/traces");
                 std::printf("%s", (*json ? audit::json_of(report) + "\n" : audit::text_of(report)).c_str());
-                return report.clean() ? kWell : kBroken;
+                return report.passed() ? kSuccess : kFailure;
             } catch (const std::exception& error) {
-                return complain(error.what());
+                return print_error(error.what());
             }
         };
     });
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -13,7 +13,7 @@
 
 using Command = std::function<int()>;
 
-constexpr int kWell = 0, kBroken = 1, kBadUse = 2;
+constexpr int kSuccess = 0, kFailure = 1, kUsageError = 2;
 
 void add_gateway_command(CLI::App& app, Command& command);
 void add_node_command(CLI::App& app, Command& command);
@@ -26,10 +26,10 @@
 void add_fake_server_commands(CLI::App& app, Command& command);
 void add_scenario_command(CLI::App& app, Command& command);
 void add_audit_command(CLI::App& app, Command& command);
-void add_trace(CLI::App& app, Command& command);
+void add_trace_command(CLI::App& app, Command& command);
 void add_clients_command(CLI::App& app, Command& command);
 
 // Prints one line on standard error, and returns the code.
-int complain(const std::string& what, int code = kBadUse);
+int print_error(const std::string& what, int code = kUsageError);
 
 }  // namespace copperfront
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -21,14 +21,14 @@
     add_scenario_command(app, command);
     add_soak_command(app, command);
     add_audit_command(app, command);
-    add_trace(app, command);
+    add_trace_command(app, command);
     add_fake_server_commands(app, command);
     add_clients_command(app, command);
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         const int code = app.exit(error);
-        return code == 0 ? kWell : kBadUse;
+        return code == 0 ? kSuccess : kUsageError;
     }
-    return command ? command() : kBadUse;
+    return command ? command() : kUsageError;
 }
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -35,7 +35,7 @@
 void check_address(const char* key, const std::string& text) {
     try {
         Address::parse(text);
-    } catch (const NetTrouble& error) {
+    } catch (const NetworkError& error) {
         throw platform::BadInput(std::string(key) + ": " + error.what());
     }
 }
@@ -74,17 +74,17 @@
     mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
     mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
     if (path.empty()) path = variable("ROUTER_CONFIG");
-    if (path.empty()) return complain("node: no file given, and ROUTER_CONFIG is not set", kBadUse);
+    if (path.empty()) return print_error("node: no file given, and ROUTER_CONFIG is not set", kUsageError);
     platform::NodeTerms terms;
     try {
         terms = read_file(path);
     } catch (const platform::BadInput& error) {
-        return complain(path + ": " + error.what(), kBadUse);
+        return print_error(path + ": " + error.what(), kUsageError);
     }
     // The descriptor budget is derived from this limit where the file states none or a larger one.
     if (rlimit files{}; getrlimit(RLIMIT_NOFILE, &files) == 0 && files.rlim_cur != RLIM_INFINITY &&
-                        (terms.sockets == 0 || files.rlim_cur < terms.sockets))
-        terms.sockets = std::min<std::size_t>(files.rlim_cur, 1 << 16);
+                        (terms.max_descriptors == 0 || files.rlim_cur < terms.max_descriptors))
+        terms.max_descriptors = std::min<std::size_t>(files.rlim_cur, 1 << 16);
     try {
         Log log(level, "json", "", 0, 0);
         Loop loop;
@@ -99,7 +99,7 @@
             try {
                 node->change(read_file(path));
             } catch (const std::exception& error) {
-                log.say(Weight::error, "node", "new terms are refused; the old ones stay",
+                log.log(Severity::error, "node", "new terms are refused; the old ones stay",
                         {{"error", error.what()}});
             }
         };
@@ -109,21 +109,21 @@
         try {
             node.emplace(loop, std::move(terms), log);
         } catch (const platform::BadInput& error) {
-            return complain(path + ": " + error.what(), kBadUse);
+            return print_error(path + ": " + error.what(), kUsageError);
         }
         loop.run();
     } catch (const std::exception& error) {
-        return complain(error.what(), kBroken);
+        return print_error(error.what(), kFailure);
     }
-    return kWell;
+    return kSuccess;
 }
 
 // Returns a configuration for the fake platform, as a real platform would provide it.
-std::string sample_terms(const standin::Platform& platform, const std::string& listen) {
+std::string sample_terms(const fake_server::FakePlatform& platform, const std::string& listen) {
     return R"({"name":"n0","listen":")" + listen + R"(","discovery":")" + platform.discovery().text() +
            R"(","seed":"1","limits":{"memory_mb":192,"sockets":1024},
  "known":)" +
-           platform.list() + R"(,
+           platform.list_json() + R"(,
  "settings":{"azs":["here"],"zone":"here","balancers":1,"models":["reader","writer"],"quantum-ms":4,
   "family-info":{"role-by-kind":["read","write"],"tokens-by-kind":[200000,120000],"release-ms":1000,
    "aim-us-per-1000-prompt-tokens":[40000],"token-aim-ms":[60]},
@@ -139,23 +139,23 @@
                       int decode_servers) {
     try {
         Loop loop;
-        standin::Platform platform(loop, {});
+        fake_server::FakePlatform platform(loop, {});
         for (int n = 0; n < prefill_servers; ++n)
-            platform.add("reader-" + std::to_string(n), Role::reader, "here", n % 2);
+            platform.add("reader-" + std::to_string(n), Role::prefill, "here", n % 2);
         for (int n = 0; n < decode_servers; ++n)
-            platform.add("writer-" + std::to_string(n), Role::writer, "here", n % 2);
+            platform.add("writer-" + std::to_string(n), Role::decode, "here", n % 2);
         std::ofstream out(file);
         out << sample_terms(platform, listen);
         out.close();
-        if (!out) return complain(file + ": cannot be written");
+        if (!out) return print_error(file + ": cannot be written");
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { loop.stop(); });
         std::printf("ready %s\n", platform.discovery().text().c_str());
         std::fflush(stdout);
         loop.run();
     } catch (const std::exception& error) {
-        return complain(error.what(), kBroken);
+        return print_error(error.what(), kFailure);
     }
-    return kWell;
+    return kSuccess;
 }
 
 }  // namespace
--- a/src/cli/soak_command.cpp
+++ b/src/cli/soak_command.cpp
@@ -19,7 +19,7 @@
 using FaultCounts = std::map<std::string, std::size_t>;
 
 // After SIGUSR1 a fake model server accepts calls and answers none for this long.
-constexpr Span kSilenceTime{1500000};
+constexpr Duration kSilenceTime{1500000};
 
 // Every call that the shim can make fail. Runs in which one of them never failed did not test its failure.
 constexpr const char* kShimmedCalls[] = {"accept4", "socket", "connect",    "readv",      "writev",
@@ -53,9 +53,10 @@
             std::filesystem::remove_all(options.folder);
             const soak::Judgement judgement = soak::run_soak(options);
             std::printf("seed %u: %s", seed, judgement.text().c_str());
-            failed += !judgement.well();
-            for (const auto& [call, times] : soak::faults_met(options.folder)) fault_counts[call] += times;
-            if (judgement.well() && !keep) std::filesystem::remove_all(options.folder);
+            failed += !judgement.passed();
+            for (const auto& [call, times] : soak::shim_fault_counts(options.folder))
+                fault_counts[call] += times;
+            if (judgement.passed() && !keep) std::filesystem::remove_all(options.folder);
         } catch (const std::exception& error) {
             std::printf("seed %u: %s\n", seed, error.what());
             ++failed;
@@ -64,22 +65,22 @@
     }
     const bool all_occurred = options.shim.empty() || all_faults_occurred(fault_counts);
     std::printf("%u passed, %u failed\n", seeds - failed, failed);
-    return failed == 0 && all_occurred ? kWell : kBroken;
+    return failed == 0 && all_occurred ? kSuccess : kFailure;
 }
 
 int run_model_server(const soak::ModelServerOptions& options) {
     try {
         Loop loop;
         soak::ModelServer server(loop, options);
-        loop.on_signal(SIGUSR1, [&] { server.fall_silent(kSilenceTime); });
+        loop.on_signal(SIGUSR1, [&] { server.stop_answering(kSilenceTime); });
         for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { loop.stop(); });
         std::printf("ready %s\n", server.address().text().c_str());
         std::fflush(stdout);
         loop.run();
     } catch (const std::exception& error) {
-        return complain(error.what(), kBroken);
+        return print_error(error.what(), kFailure);
     }
-    return kWell;
+    return kSuccess;
 }
 
 }  // namespace
@@ -101,7 +102,7 @@
         ->capture_default_str();
     sub->callback([=, &command] {
         command = [=] {
-            options->role = *role == "prefill" ? Role::reader : Role::writer;
+            options->role = *role == "prefill" ? Role::prefill : Role::decode;
             return run_model_server(*options);
         };
     });
--- a/src/cli/trace_commands.cpp
+++ b/src/cli/trace_commands.cpp
@@ -67,7 +67,7 @@
         auto source = open_source(path, why);
         auto file = source ? TraceFile::open(std::move(source), path, why) : nullptr;
         if (!file) {
-            complain(path + ": " + why);
+            print_error(path + ": " + why);
             return false;
         }
         // Missing data is reported whatever the tool does: its result covers the rest only.
@@ -87,9 +87,9 @@
     return out;
 }
 
-int report_errors(const std::vector<std::string>& troubles) {
-    for (const std::string& t : troubles) std::fprintf(stderr, "copperfront: %s\n", t.c_str());
-    return troubles.empty() ? kWell : kBroken;
+int report_errors(const std::vector<std::string>& errors) {
+    for (const std::string& t : errors) std::fprintf(stderr, "copperfront: %s\n", t.c_str());
+    return errors.empty() ? kSuccess : kFailure;
 }
 
 // Opens the destination of a new trace. Existing files are never overwritten.
@@ -100,17 +100,17 @@
 }
 
 // Writes rows to a new file, from its header to its footer, and prints errors.
-int write_file(const std::string& path, Header header, const Pool& pool,
+int write_file(const std::string& path, Header header, const StringTable& pool,
                const std::function<bool(RowSink&, std::string&)>& fill, std::uint64_t* rows = nullptr) {
     std::string why;
     auto out = open_output(path, why);
-    if (!out) return complain(why);
+    if (!out) return print_error(why);
     FileWriter writer(std::move(out), std::move(header));
     RowSink sink(writer, pool);
     if (!writer.start(why) || !fill(sink, why) || !sink.flush(why) || !writer.finish(why))
-        return complain(path + ": " + why, kBroken);
+        return print_error(path + ": " + why, kFailure);
     if (rows) *rows = writer.rows();
-    return kWell;
+    return kSuccess;
 }
 
 // Parses "2026-12-01T15:00:00.250Z", or "+12.5": seconds from the first row of the files.
@@ -140,7 +140,7 @@
 
 struct FilterOptions {
     std::string from, until;
-    Wanted filter;
+    RowFilter filter;
     void add(CLI::App& app) {
         app.add_option("--from", from, "2026-12-01T15:00:00Z, or +SECONDS from the first row");
         app.add_option("--until", until, "the same");
@@ -149,13 +149,13 @@
         app.add_option("--server", filter.server, "that were at this server");
         app.add_option("--gateway", filter.origin, "of this gateway, by its name or its name and life");
     }
-    bool resolve(const Files& files, Wanted& to) const {
+    bool resolve(const Files& files, RowFilter& to) const {
         to = filter;
         if (!from.empty() && !parse_time(from, files, to.from))
-            return complain("--from " + from + ": expected 2026-12-01T15:00:00Z or +SECONDS"), false;
+            return print_error("--from " + from + ": expected 2026-12-01T15:00:00Z or +SECONDS"), false;
         if (!until.empty() && !parse_time(until, files, to.until))
-            return complain("--until " + until + ": expected 2026-12-01T15:00:00Z or +SECONDS"), false;
-        if (to.from > to.until) return complain("--from lies after --until"), false;
+            return print_error("--until " + until + ": expected 2026-12-01T15:00:00Z or +SECONDS"), false;
+        if (to.from > to.until) return print_error("--from lies after --until"), false;
         return true;
     }
 };
@@ -190,9 +190,9 @@
 int cut_files(const std::vector<std::string>& paths, const FilterOptions& filter_options,
               const std::string& out) {
     Files files;
-    Wanted filter;
-    if (!open_all(paths, files) || !filter_options.resolve(files, filter)) return kBadUse;
-    Pool pool;
+    RowFilter filter;
+    if (!open_all(paths, files) || !filter_options.resolve(files, filter)) return kUsageError;
+    StringTable pool;
     CutResult result;
     Progress progress("cut");
     const int code = write_file(out, header_of(files), pool, [&](RowSink& sink, std::string& why) {
@@ -200,17 +200,17 @@
             views(files), filter, pool, [&](const Row& row) { return sink.put(row, why); }, progress.bytes());
         return result.complete;
     });
-    if (code != kWell) return code;
+    if (code != kSuccess) return code;
     std::fprintf(stderr, "%llu rows, %llu queries; %zu of %zu blocks were read\n",
                  static_cast<unsigned long long>(result.rows),
                  static_cast<unsigned long long>(result.requests), result.blocks_read, result.blocks);
-    return report_errors(result.troubles);
+    return report_errors(result.errors);
 }
 
 int merge_files(const std::vector<std::string>& paths, const std::vector<std::string>& offsets,
                 const std::string& out) {
     Files files;
-    if (!open_all(paths, files)) return kBadUse;
+    if (!open_all(paths, files)) return kUsageError;
     std::vector<Merger::Input> inputs;
     for (const auto& f : files) inputs.push_back({f.get(), 0});
     for (const std::string& o : offsets) {
@@ -218,7 +218,7 @@
         double ms = 0;
         if (eq == std::string::npos || !CLI::detail::lexical_cast(o.substr(eq + 1), ms) ||
             !(std::abs(ms) < 1e12))
-            return complain("--offset " + o + ": expected GATEWAY=MS, such as g1=-12.5");
+            return print_error("--offset " + o + ": expected GATEWAY=MS, such as g1=-12.5");
         bool known = false;
         for (std::size_t n = 0; n < files.size(); ++n) {
             const std::string& origin = files[n]->header().origin;
@@ -226,9 +226,9 @@
             inputs[n].offset = static_cast<std::int64_t>(ms * 1000);
             known = true;
         }
-        if (!known) return complain("--offset " + o + ": no file belongs to this gateway");
+        if (!known) return print_error("--offset " + o + ": no file belongs to this gateway");
     }
-    Pool pool;
+    StringTable pool;
     Progress progress("merge");
     Merger merger(inputs, pool);
     std::uint64_t all = 0, done = 0, written = 0;
@@ -244,11 +244,11 @@
             return true;
         },
         &written);
-    if (code != kWell) return code;
+    if (code != kSuccess) return code;
     std::fprintf(stderr, "%llu rows of %zu files; %llu rows were duplicates and were written once\n",
                  static_cast<unsigned long long>(written), files.size(),
                  static_cast<unsigned long long>(merger.duplicates()));
-    return report_errors(merger.troubles());
+    return report_errors(merger.errors());
 }
 
 int anonymise_files(const std::vector<std::string>& paths, const std::string& key_file, double time_ms,
@@ -256,11 +256,11 @@
     std::ifstream in(key_file, std::ios::binary);
     std::string key((std::istreambuf_iterator<char>(in)), {});
     if (!in || key.size() < 16)
-        return complain(key_file +
-                        ": expected a key of at least 16 bytes, such as from: head -c 32 /dev/urandom");
+        return print_error(key_file +
+                           ": expected a key of at least 16 bytes, such as from: head -c 32 /dev/urandom");
     Files files;
-    if (!open_all(paths, files)) return kBadUse;
-    Pool pool;
+    if (!open_all(paths, files)) return kUsageError;
+    StringTable pool;
     Anonymiser anonymiser(key, {static_cast<std::int64_t>(time_ms * 1000), tokens}, pool);
     CutResult result;
     Progress progress("anonymise");
@@ -276,12 +276,12 @@
             progress.bytes());
         return result.complete;
     });
-    return code != kWell ? code : report_errors(result.troubles);
+    return code != kSuccess ? code : report_errors(result.errors);
 }
 
-bool summarise(const Files& files, const Wanted& filter, Summary& summary,
-               std::vector<std::string>& troubles) {
-    Pool pool;
+bool summarise(const Files& files, const RowFilter& filter, Summary& summary,
+               std::vector<std::string>& errors) {
+    StringTable pool;
     Progress progress("summary");
     const CutResult result = cut(
         views(files), filter, pool,
@@ -290,22 +290,22 @@
             return true;
         },
         progress.bytes());
-    troubles = result.troubles;
+    errors = result.errors;
     return result.complete;
 }
 
-By group_by_name(const std::string& word) {
+GroupBy group_by_name(const std::string& word) {
     for (std::size_t n = 0; n < std::size(kGroupByNames); ++n)
-        if (word == kGroupByNames[n]) return static_cast<By>(n);
-    return By::all;
+        if (word == kGroupByNames[n]) return static_cast<GroupBy>(n);
+    return GroupBy::all;
 }
 
 int show_files(const std::vector<std::string>& paths, const FilterOptions& filter_options,
                std::uint64_t limit) {
     Files files;
-    Wanted filter;
-    if (!open_all(paths, files) || !filter_options.resolve(files, filter)) return kBadUse;
-    Pool pool;
+    RowFilter filter;
+    if (!open_all(paths, files) || !filter_options.resolve(files, filter)) return kUsageError;
+    StringTable pool;
     std::uint64_t shown = 0;
     const auto line = [&](const Row& row) {
         if (limit != 0 && shown == limit) return false;
@@ -313,38 +313,38 @@
         std::string name = pool.text(row[1]);
         if (row.table != Table::events) name += "." + std::to_string(row[2]);
         std::printf("%s %-9s %s  %s\n", time_text(row.at()).c_str(), name_of(row.table), name.c_str(),
-                    sentence(row, pool).c_str());
+                    describe(row, pool).c_str());
         return std::ferror(stdout) == 0;
     };
     const bool by_whole_request = filter.selects_by_request() || !filter.server.empty();
-    if (by_whole_request) return report_errors(cut(views(files), filter, pool, line).troubles);
+    if (by_whole_request) return report_errors(cut(views(files), filter, pool, line).errors);
     std::vector<Merger::Input> inputs;
     for (const auto& f : files) inputs.push_back({f.get(), 0});
     Merger merger(inputs, pool, filter.from, filter.until);
     for (Row row; merger.next(row);)
         if (filter.matches(row, pool) && !line(row)) break;
-    return report_errors(merger.troubles());
+    return report_errors(merger.errors());
 }
 
 int explain(const std::string& request, const std::vector<std::string>& paths) {
     RequestName name;
     if (!parse_request_name(request, name))
-        return complain("explain " + request +
-                        ": expected the name of a request, such as g1.18f3a.756, or its number");
+        return print_error("explain " + request +
+                           ": expected the name of a request, such as g1.18f3a.756, or its number");
     Files files;
-    if (!open_all(paths, files)) return kBadUse;
-    Pool pool;
-    const Found found = rows_of(views(files), name, pool);
-    const std::string text = story(found.rows, pool);
-    if (text.empty()) return complain("no query " + request + " in these files", kBroken);
+    if (!open_all(paths, files)) return kUsageError;
+    StringTable pool;
+    const RequestRows found = find_request(views(files), name, pool);
+    const std::string text = explain_request(found.rows, pool);
+    if (text.empty()) return print_error("no query " + request + " in these files", kFailure);
     std::printf("%s", text.c_str());
-    return report_errors(found.troubles);
+    return report_errors(found.errors);
 }
 
 int to_json(const std::vector<std::string>& paths) {
     Files files;
-    if (!open_all(paths, files)) return kBadUse;
-    Pool pool;
+    if (!open_all(paths, files)) return kUsageError;
+    StringTable pool;
     JsonLines lines(pool);
     std::string buffer;
     Progress progress("convert");
@@ -361,12 +361,12 @@
         progress.bytes());
     if (!result.complete || std::fwrite(buffer.data(), 1, buffer.size(), stdout) != buffer.size() ||
         std::fflush(stdout) != 0)
-        return complain(std::string("standard output: ") + std::strerror(errno), kBroken);
-    return report_errors(result.troubles);
+        return print_error(std::string("standard output: ") + std::strerror(errno), kFailure);
+    return report_errors(result.errors);
 }
 
 int from_json(const std::vector<std::string>& paths, std::uint32_t version, const std::string& out) {
-    Pool pool;
+    StringTable pool;
     std::uint64_t bad = 0;
     const int code =
         write_file(out, Header::of(version, "", "", 0), pool, [&](RowSink& sink, std::string& why) {
@@ -397,9 +397,9 @@
             }
             return true;
         });
-    if (code != kWell) return code;
-    if (bad > 0) return complain(std::to_string(bad) + " lines were left out", kBroken);
-    return kWell;
+    if (code != kSuccess) return code;
+    if (bad > 0) return print_error(std::to_string(bad) + " lines were left out", kFailure);
+    return kSuccess;
 }
 
 int verify(const std::vector<std::string>& paths) {
@@ -409,7 +409,7 @@
         const std::shared_ptr<const Source> source = open_source(path, why);
         const auto file = source ? TraceFile::open(source, path, why) : nullptr;
         if (!file) {
-            complain(path + ": " + why);
+            print_error(path + ": " + why);
             ok = false;
             continue;
         }
@@ -436,33 +436,33 @@
         const TraceFile& f = found ? *found : *file;
         std::printf("%s: %s, version %u, %zu blocks, %llu queries, %llu decisions, %llu events%s\n",
                     path.c_str(), whole ? "whole" : "NOT WHOLE", f.header().version, f.index().blocks.size(),
-                    static_cast<unsigned long long>(f.rows(Table::queries)),
+                    static_cast<unsigned long long>(f.rows(Table::requests)),
                     static_cast<unsigned long long>(f.rows(Table::decisions)),
                     static_cast<unsigned long long>(f.rows(Table::events)), notes.c_str());
         ok = ok && whole;
     }
-    return ok ? kWell : kBroken;
+    return ok ? kSuccess : kFailure;
 }
 
 int mend(const std::string& path, const std::string& out) {
     std::string why;
     auto source = open_source(path, why);
     auto file = source ? TraceFile::scan(std::move(source), path, why) : nullptr;
-    if (!file) return complain(path + ": " + why);
+    if (!file) return print_error(path + ": " + why);
     auto to = open_output(out, why);
-    if (!to) return complain(why);
+    if (!to) return print_error(why);
     FileWriter writer(std::move(to), file->header());
     bool ok = writer.start(why);
     std::uint64_t rows = 0;
     for (const BlockInfo& info : file->index().blocks) {
-        Pool pool;
+        StringTable pool;
         Batch batch(info.table);
         const std::string block = ok ? file->bytes(info, why) : std::string();
         ok = ok && decode(file->header(), block, pool, batch, why) &&
              writer.add_block(block, batch, pool, why);
         rows += batch.rows();
     }
-    if (!ok || !writer.finish(why)) return complain(out + ": " + why, kBroken);
+    if (!ok || !writer.finish(why)) return print_error(out + ": " + why, kFailure);
     std::uint64_t lost = 0;
     std::uint32_t lost_rows = 0;
     for (const DamagedRange& t : file->damaged_ranges()) {
@@ -473,12 +473,12 @@
                 file->index().blocks.size(), static_cast<unsigned long long>(rows),
                 static_cast<unsigned long long>(lost),
                 lost_rows > 0 ? (", of " + std::to_string(lost_rows) + " rows at most").c_str() : "");
-    return kWell;
+    return kSuccess;
 }
 
 }  // namespace
 
-void add_trace(CLI::App& app, Command& chosen) {
+void add_trace_command(CLI::App& app, Command& command) {
     auto* trace = app.add_subcommand("trace", "Read, cut, merge and explain the traces that gateways write");
     trace->require_subcommand(1);
 
@@ -490,7 +490,7 @@
         auto filter_options = std::make_shared<FilterOptions>();
         filter_options->add(*cutting);
         cutting->callback(
-            [=, &chosen] { chosen = [=] { return cut_files(*paths, *filter_options, *out); }; });
+            [=, &command] { command = [=] { return cut_files(*paths, *filter_options, *out); }; });
     }
     auto* merging =
         trace->add_subcommand("merge", "Merge files by time, without duplicates, in bounded memory");
@@ -502,7 +502,7 @@
             ->add_option("--offset", *offsets,
                          "GATEWAY=MS, added to its times: by how much its clock was behind")
             ->allow_extra_args(false);
-        merging->callback([=, &chosen] { chosen = [=] { return merge_files(*paths, *offsets, *out); }; });
+        merging->callback([=, &command] { command = [=] { return merge_files(*paths, *offsets, *out); }; });
     }
     auto* hiding = trace->add_subcommand(
         "anonymise", "Replace sessions, groups, routes, servers and gateways by keyed hashes");
@@ -518,7 +518,7 @@
         hiding->add_option("--coarsen-tokens", *tokens, "sizes are rounded up to a multiple of this")
             ->check(CLI::Range(std::int64_t{0}, std::int64_t{1000000}));
         hiding->callback(
-            [=, &chosen] { chosen = [=] { return anonymise_files(*paths, *key, *time, *tokens, *out); }; });
+            [=, &command] { command = [=] { return anonymise_files(*paths, *key, *time, *tokens, *out); }; });
     }
     auto* summing = trace->add_subcommand("summary", "Outcomes, quantiles, attempts and waste by one key");
     {
@@ -533,19 +533,19 @@
         summing->add_option("--format", *form)
             ->check(CLI::IsMember({"text", "csv", "json"}))
             ->capture_default_str();
-        summing->callback([=, &chosen] {
-            chosen = [=] {
+        summing->callback([=, &command] {
+            command = [=] {
                 Files files;
-                Wanted filter;
-                if (!open_all(*paths, files) || !filter_options->resolve(files, filter)) return kBadUse;
+                RowFilter filter;
+                if (!open_all(*paths, files) || !filter_options->resolve(files, filter)) return kUsageError;
                 Summary summary(group_by_name(*by));
-                std::vector<std::string> troubles;
-                summarise(files, filter, summary, troubles);
+                std::vector<std::string> errors;
+                summarise(files, filter, summary, errors);
                 std::printf("%s", (*form == "csv"    ? summary.csv()
                                    : *form == "json" ? summary.json()
                                                      : summary.text())
                                       .c_str());
-                return report_errors(troubles);
+                return report_errors(errors);
             };
         });
     }
@@ -557,7 +557,7 @@
         auto limit = std::make_shared<std::uint64_t>(0);
         showing->add_option("--limit", *limit, "at most this many lines; 0: all");
         showing->callback(
-            [=, &chosen] { chosen = [=] { return show_files(*paths, *filter_options, *limit); }; });
+            [=, &command] { command = [=] { return show_files(*paths, *filter_options, *limit); }; });
     }
     auto* explaining =
         trace->add_subcommand("explain", "Explain one request: each decision, what was known, and why");
@@ -566,25 +566,26 @@
         explaining->add_option("QUERY", *request, "its name, such as g1.18f3a.756, or its number")
             ->required();
         auto paths = files_option(*explaining);
-        explaining->callback([=, &chosen] { chosen = [=] { return explain(*request, *paths); }; });
+        explaining->callback([=, &command] { command = [=] { return explain(*request, *paths); }; });
     }
     auto* converting =
         trace->add_subcommand("convert", "Convert to JSON lines on standard output, or from JSON lines");
     {
         auto paths = files_option(*converting);
         auto to = std::make_shared<std::string>("json"), out = std::make_shared<std::string>();
-        auto version = std::make_shared<std::uint32_t>(kNewest);
+        auto version = std::make_shared<std::uint32_t>(kNewestVersion);
         converting->add_option("--to", *to, "json, or trace to read JSON lines")
             ->check(CLI::IsMember({"json", "trace"}))
             ->capture_default_str();
         converting->add_option("-o,--output", *out, "the new trace file, with --to trace");
         converting->add_option("--version", *version, "of the new trace file")
-            ->check(CLI::Range(kOldestVersion, kNewest))
+            ->check(CLI::Range(kOldestVersion, kNewestVersion))
             ->capture_default_str();
-        converting->callback([=, &chosen] {
-            chosen = [=] {
+        converting->callback([=, &command] {
+            command = [=] {
                 if (*to == "json") return to_json(*paths);
-                if (out->empty()) return complain("convert --to trace: an output file is required, -o FILE");
+                if (out->empty())
+                    return print_error("convert --to trace: an output file is required, -o FILE");
                 return from_json(*paths, *version, *out);
             };
         });
@@ -593,7 +594,7 @@
         trace->add_subcommand("verify", "Check every checksum, and the index against the blocks");
     {
         auto paths = files_option(*verifying);
-        verifying->callback([=, &chosen] { chosen = [=] { return verify(*paths); }; });
+        verifying->callback([=, &command] { command = [=] { return verify(*paths); }; });
     }
     auto* mending = trace->add_subcommand(
         "mend", "Copy all intact blocks of a truncated or damaged file to a closed file");
@@ -601,13 +602,13 @@
         auto path = std::make_shared<std::string>();
         mending->add_option("FILE", *path)->required();
         auto out = out_option(*mending);
-        mending->callback([=, &chosen] { chosen = [=] { return mend(*path, *out); }; });
+        mending->callback([=, &command] { command = [=] { return mend(*path, *out); }; });
     }
     trace
         ->add_subcommand("columns",
                          "Print every column of the three tables, in the form used in docs/trace-format.md")
-        ->callback([&chosen] {
-            chosen = [] {
+        ->callback([&command] {
+            command = [] {
                 constexpr const char* kEncodingNames[] = {"",     "number",  "delta", "name",
                                                           "mark", "numbers", "names"};
                 for (const Table t : kTables) {
@@ -621,7 +622,7 @@
                                     c.description);
                     std::printf("\n");
                 }
-                return kWell;
+                return kSuccess;
             };
         });
     auto* differing =
@@ -635,17 +636,17 @@
             ->check(
                 CLI::IsMember(std::vector<std::string>(std::begin(kGroupByNames), std::end(kGroupByNames))))
             ->capture_default_str();
-        differing->callback([=, &chosen] {
-            chosen = [=] {
+        differing->callback([=, &command] {
+            command = [=] {
                 Files before, after;
-                if (!open_all({*a}, before) || !open_all({*b}, after)) return kBadUse;
+                if (!open_all({*a}, before) || !open_all({*b}, after)) return kUsageError;
                 Summary was(group_by_name(*by)), is(group_by_name(*by));
-                std::vector<std::string> troubles, more;
-                summarise(before, {}, was, troubles);
+                std::vector<std::string> errors, more;
+                summarise(before, {}, was, errors);
                 summarise(after, {}, is, more);
-                troubles.insert(troubles.end(), more.begin(), more.end());
+                errors.insert(errors.end(), more.begin(), more.end());
                 std::printf("%s", difference(was, is).c_str());
-                return report_errors(troubles);
+                return report_errors(errors);
             };
         });
     }
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -8,7 +8,7 @@
 
 namespace copperfront {
 
-void Rules::query_arrived(QueryIndex i, const Arrival& info) {
+void Router::request_arrived(RequestIndex i, const RequestInfo& info) {
     now_ = host_.now();
     if (i >= requests_.size()) requests_.resize(i + 1);
     const std::uint32_t serial = requests_[i].serial + 1;
@@ -16,23 +16,23 @@
     q = RoutedRequest{};
     q.serial = serial;
     q.info = info;
-    if (info.avoid >= 0) q.avoided_servers.push_back(static_cast<ServerIndex>(info.avoid));
+    if (info.avoided_server >= 0) q.avoided_servers.push_back(static_cast<ServerIndex>(info.avoided_server));
     const Category& c = terms_.categories[info.category];
     q.arrived_at = now_;
     q.goal_deadline = q.arrived_at + c.latency_goal + c.goal_per_thousand * (info.prompt_tokens / 1000.0);
-    q.deadline = q.arrived_at + info.budget;
+    q.deadline = q.arrived_at + info.time_budget;
     // At least 1: a first empty prompt would make the mean 0, by which others are divided.
     add_sample(prompt_length_, std::max(1.0, info.prompt_tokens));
     add_sample(work_by_category_[info.category], estimated_stream_tokens(q));
     add_sample(average_work_, estimated_stream_tokens(q));
     refill_slow_start();
     if (now_ - shares_computed_at_ > kFleetShareInterval) compute_fleet_shares();
-    if (info.beginning != 0) {
+    if (info.shared_prefix != 0) {
         // The shared prefix's share of the traffic. One gateway of many sees little of the traffic, so its
         // own count is smoothed towards the rate at which two requests have the same shared prefix. With
         // plain counts every prefix met once would get many preferred servers.
         if (shared_prefix_counts_.size() >= kRememberedPrefixes) shared_prefix_counts_.clear();
-        auto& [count, counted_at] = shared_prefix_counts_[info.beginning];
+        auto& [count, counted_at] = shared_prefix_counts_[info.shared_prefix];
         count *= std::exp(-seconds(q.arrived_at - counted_at) / kRateWindowS);
         matching_pairs_ += count;
         all_pairs_ += recent_arrivals_;
@@ -44,12 +44,12 @@
     recent_arrivals_ += 1;
     // One quantum before the client's deadline, so that the answer arrives in time whatever the batching of
     // events.
-    host_.set_timer(std::max(Span{0}, info.budget - terms_.quantum),
+    host_.set_timer(std::max(Duration{0}, info.time_budget - terms_.quantum),
                     kRequestKeys + (TimerKey{i} << 30) + serial % (1U << 30));
     q.stage = Stage::queued;
     if (exceeds_quota(q) && goal_usage_ > kOverloadGoalUsage) {
-        host_.ends(i, kOverItsShare);
-        return end_request(i, terms_.max_stay_away);
+        host_.request_ends(i, kOverQuota);
+        return end_request(i, terms_.max_retry_after);
     }
     new_requests_.emplace_back(i, serial);
     earn_probe_credit();
@@ -60,7 +60,7 @@
 
 // Whether the request exceeds the quota of its client group, a token bucket. Quotas are given for all
 // gateways together. Clients are spread evenly over the gateways, so each gateway enforces its share.
-bool Rules::exceeds_quota(const RoutedRequest& q) {
+bool Router::exceeds_quota(const RoutedRequest& q) {
     if (q.info.client_group < 0) return false;
     const auto group = static_cast<std::size_t>(q.info.client_group);
     if (group >= terms_.quotas.size() || terms_.quotas[group] <= 0) return false;
@@ -74,7 +74,7 @@
 }
 
 // Requests wait before their prefill: without room at a decode server no prefill is started.
-bool Rules::try_start(QueryIndex i) {
+bool Router::try_start(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     ServerIndex s = 0;
     const bool has_room = any_decode_room(q);
@@ -89,24 +89,24 @@
             return send(i, probed, true), true;
         }
         if (now < q.probe_deadline) {
-            host_.held(i, "asked readers have not answered");
+            host_.request_waits(i, "asked readers have not answered");
             schedule_sweep((now < halfway ? halfway : q.probe_deadline) - now);
             return false;
         }
         q.probe_deadline = q.arrived_at;
     }
     if (has_room && pick_prefill_server(q, s)) return send(i, s, true), true;
-    host_.held(i, has_room ? "no reader can take it in time" : "no writer shows room");
+    host_.request_waits(i, has_room ? "no reader can take it in time" : "no writer shows room");
     return false;
 }
 
 // Keeps requests from waiting only to be answered too late. A request whose answer was lost is useful up to
 // its deadline: its work is done, and most of it is still cached where it ran.
-Instant Rules::useful_until(const RoutedRequest& q) const {
+Instant Router::useful_until(const RoutedRequest& q) const {
     return q.answer_lost ? q.deadline : std::min(q.goal_deadline, q.deadline);
 }
 
-void Rules::serve_queues() {
+void Router::serve_queues() {
     refill_slow_start();
     if (now_ - server_checks_since_ >= kServerCheckInterval) {
         server_checks_since_ = now_;
@@ -120,8 +120,8 @@
 // Bounds the work when hundreds of requests wait and each event would examine thousands of servers for each
 // of them: past a limit on the servers examined in an interval the remaining requests wait for the next
 // interval, and those that have not been tried come first.
-void Rules::serve_queue(std::deque<std::pair<QueryIndex, std::uint32_t>>& queue, Stage stage) {
-    const Span quick_answer = kMs * (quick_time(prefill_time_) + quick_time(first_token_time_));
+void Router::serve_queue(std::deque<std::pair<RequestIndex, std::uint32_t>>& queue, Stage stage) {
+    const Duration quick_answer = kMs * (quick_time(prefill_time_) + quick_time(first_token_time_));
     const std::size_t max_checks = server_checks_ / 2 + kMaxServerChecks / 2;
     for (std::size_t n = queue.size(); n > 0 && server_checks_ < max_checks; --n) {
         const auto [i, serial] = queue.front();
@@ -131,8 +131,8 @@
         const bool may_try = !is_sabotaged(Sabotage::waiting_tried_once) || now_ == q.arrived_at;
         if (may_try && try_start(i)) continue;
         if (now_ + quick_answer > useful_until(q) && now_ > q.arrived_at) {
-            host_.ends(i, "it would be settled too late");
-            end_request(i, terms_.max_stay_away);
+            host_.request_ends(i, "it would be settled too late");
+            end_request(i, terms_.max_retry_after);
             continue;
         }
         // A prefill whose answer was lost may have left a state on its server, so that is released in time.
@@ -144,7 +144,7 @@
     }
 }
 
-Rules::Waiting Rules::waiting() const {
+Router::Waiting Router::waiting() const {
     Waiting waiting;
     for (const RoutedRequest& q : requests_) {
         if (q.stage != Stage::queued && q.stage != Stage::queued_for_retry &&
@@ -155,11 +155,11 @@
     return waiting;
 }
 
-void Rules::requeue(QueryIndex i) {
+void Router::requeue(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     q.stage = Stage::queued_for_retry;
     retries_.emplace_back(i, q.serial);
-    schedule_sweep(Span{0});
+    schedule_sweep(Duration{0});
 }
 
 }  // namespace copperfront
--- a/src/core/cell_mix.cpp
+++ b/src/core/cell_mix.cpp
@@ -10,7 +10,7 @@
 // Computes the shares of prefill servers, decode servers and prefills of each cell and zone. Prefills are
 // shifted towards prefill servers with decode servers in the same cell, the more the longer hand-overs
 // between cells take compared with those within one.
-void Rules::compute_fleet_shares() {
+void Router::compute_fleet_shares() {
     cells_.assign(cells_.size(), {});
     zones_.assign(zones_.size(), {});
     double prefill_servers = 0, decode_servers = 0, total_work = 0;
@@ -21,7 +21,7 @@
     shares_computed_at_ = now_;
     const bool had_prefill_servers = std::exchange(has_prefill_servers_, false);
     for (ServerIndex s = 0; s < server_count_; ++s)
-        has_prefill_servers_ |= is_ready(s) && role_[s] == Role::reader;
+        has_prefill_servers_ |= is_ready(s) && role_[s] == Role::prefill;
     // Mixed servers are judged by the other pace from now on.
     for (ServerIndex s = 0; s < server_count_ && had_prefill_servers != has_prefill_servers_; ++s)
         if (role_[s] == Role::mixed) pace_samples_[s] = 0;
@@ -61,14 +61,14 @@
 }
 
 // Called after the server list or the terms have changed.
-void Rules::listed_servers_changed() {
+void Router::listed_servers_changed() {
     ready_prefill_.clear();
     ready_decode_.clear();
     cold_servers_.clear();
     for (ServerIndex s = 0; s < server_count_; ++s) {
         if (!is_ready(s)) continue;
-        if (role_[s] != Role::writer) ready_prefill_.push_back(s);
-        if (role_[s] != Role::reader) ready_decode_.push_back(s);
+        if (role_[s] != Role::decode) ready_prefill_.push_back(s);
+        if (role_[s] != Role::prefill) ready_decode_.push_back(s);
         if (is_cold(s)) cold_servers_.push_back(s);
     }
     prefill_candidates_.invalidate();
@@ -77,21 +77,21 @@
 }
 
 // Called when a server may have become able or unable to receive requests.
-void Rules::availability_changed(ServerIndex s) {
-    if (role_[s] != Role::writer) prefill_candidates_.invalidate();
-    if (role_[s] == Role::reader) return;
+void Router::availability_changed(ServerIndex s) {
+    if (role_[s] != Role::decode) prefill_candidates_.invalidate();
+    if (role_[s] == Role::prefill) return;
     decode_candidates_.invalidate();
     servers_with_room_.invalidate();
 }
 
 // Mixed servers decode: prefills there slow down all answers that they stream, and only mixed and decode
 // servers can decode. They count as prefill servers where there are no others.
-bool Rules::does_prefill(ServerIndex s) const {
-    return role_[s] == Role::reader || (role_[s] == Role::mixed && !has_prefill_servers_);
+bool Router::does_prefill(ServerIndex s) const {
+    return role_[s] == Role::prefill || (role_[s] == Role::mixed && !has_prefill_servers_);
 }
 
-bool Rules::does_decode(ServerIndex s) const { return role_[s] != Role::reader; }
+bool Router::does_decode(ServerIndex s) const { return role_[s] != Role::prefill; }
 
-bool Rules::is_ready(ServerIndex s) const { return status_[s] == Standing::ready; }
+bool Router::is_ready(ServerIndex s) const { return status_[s] == ServerStatus::ready; }
 
 }  // namespace copperfront
--- a/src/core/decode_placement.cpp
+++ b/src/core/decode_placement.cpp
@@ -9,19 +9,20 @@
 namespace copperfront {
 
 // Reports the compared candidates to a trace, if one is kept. No decision depends on this.
-bool Rules::trace_choice(const RoutedRequest& q, ServerIndex chosen, bool is_prefill, const char* why) {
-    if (!host_.keeps_trace()) return true;
+bool Router::trace_choice(const RoutedRequest& q, ServerIndex chosen, bool is_prefill, const char* why) {
+    if (!host_.is_tracing()) return true;
     traced_candidates_.clear();
     for (const ServerIndex s : candidates_)
         traced_candidates_.push_back({s, is_prefill ? queued_prompt_tokens(s) : decode_room(s)});
     const std::size_t traced = std::min(traced_candidates_.size(), kTracedCandidates);
     const auto end = traced_candidates_.begin() + static_cast<std::ptrdiff_t>(traced);
     std::partial_sort(traced_candidates_.begin(), end, traced_candidates_.end(),
-                      [&](const Host::Sight& a, const Host::Sight& b) {
-                          return is_prefill ? a.figure < b.figure : a.figure > b.figure;
+                      [&](const Host::Candidate& a, const Host::Candidate& b) {
+                          return is_prefill ? a.load_or_room < b.load_or_room
+                                            : a.load_or_room > b.load_or_room;
                       });
-    host_.chose(static_cast<QueryIndex>(&q - requests_.data()), chosen, is_prefill, why,
-                {traced_candidates_.begin(), end}, candidates_.size());
+    host_.server_chosen(static_cast<RequestIndex>(&q - requests_.data()), chosen, is_prefill, why,
+                        {traced_candidates_.begin(), end}, candidates_.size());
     return true;
 }
 
@@ -29,7 +30,7 @@
 // gateways favour the cell of the prefill server at once: ties favour that cell only as far as its decode
 // share matches its share of the prefills. The excess goes to cells with decode servers to spare, first in
 // the same zone. If all gateways weigh so, each decode server gets its share.
-double Rules::decode_weight(ServerIndex s, ServerIndex prefill_server) const {
+double Router::decode_weight(ServerIndex s, ServerIndex prefill_server) const {
     const LocationShare& here = cells_[cell_[prefill_server]];
     const LocationShare& there = cells_[cell_[s]];
     const LocationShare& zone = zones_[zone_[prefill_server]];
@@ -50,7 +51,7 @@
 }
 
 // The weight is the same for all servers of one cell in one zone, so one choice computes it once for each.
-double Rules::place_weight(ServerIndex s, ServerIndex prefill_server) {
+double Router::place_weight(ServerIndex s, ServerIndex prefill_server) {
     CellWeight& cell = cell_weights_[cell_[s]];
     if (!cell.is_known || cell.zone != zone_[s]) cell = {true, zone_[s], decode_weight(s, prefill_server)};
     return cell.weight;
@@ -58,31 +59,31 @@
 
 // Network distance that a state is transferred over. 0: within the cell, 1: to another cell of the zone, 2:
 // to another zone.
-std::size_t Rules::distance_class(ServerIndex from, ServerIndex to) const {
+std::size_t Router::distance_class(ServerIndex from, ServerIndex to) const {
     return cell_[from] == cell_[to] ? 0 : zone_[from] == zone_[to] ? 1 : 2;
 }
 
-void Rules::note_hand_over(const RoutedRequest& q, Span took) {
+void Router::note_hand_over(const RoutedRequest& q, Duration duration) {
     const std::size_t distance = distance_class(q.state_server, q.server);
-    add_sample(hand_over_times_[distance], took.ms(), kRoleSampleWeight);
+    add_sample(hand_over_times_[distance], duration.ms(), kRoleSampleWeight);
     last_hand_over_at_[distance] = now_;
 }
 
 // The learned time fades, as a distance that is avoided yields no new samples.
-double Rules::hand_over_time(std::size_t distance) const {
+double Router::hand_over_time(std::size_t distance) const {
     return hand_over_times_[distance].mean *
            std::exp(-seconds(now_ - last_hand_over_at_[distance]) / kRateWindowS);
 }
 
 // Whether an idle connection from this gateway to the server is likely to exist.
-bool Rules::is_connected(ServerIndex s) const {
+bool Router::is_connected(ServerIndex s) const {
     return connected_at_[s].us != 0 &&
-           now_ - connected_at_[s] < terms_.connections_rest * kConnectedIdleShare;
+           now_ - connected_at_[s] < terms_.connection_idle_timeout * kConnectedIdleShare;
 }
 
 // Avoids a handshake for nearly every request of a gateway whose fleet is large for its traffic: a tie within
 // a cell goes to a connected server, once enough servers are connected to spread the requests over.
-ServerIndex Rules::prefer_connected(ServerIndex picked, double least_room) {
+ServerIndex Router::prefer_connected(ServerIndex picked, double least_room) {
     if (is_connected(picked)) return picked;
     std::size_t connected = 0;
     scores_.clear();
@@ -98,7 +99,7 @@
 }
 
 // Picks one of the candidates with at least this room, at random by weight.
-ServerIndex Rules::pick_among_ties(const RoutedRequest& q, double least_room) {
+ServerIndex Router::pick_among_ties(const RoutedRequest& q, double least_room) {
     ServerIndex picked = candidates_.front();
     double lowest = kInfinite;
     cell_weights_.assign(cells_.size(), {});
@@ -116,7 +117,7 @@
     return prefer_connected(picked, least_room);
 }
 
-bool Rules::pick_decode_server(const RoutedRequest& q, ServerIndex& best) {
+bool Router::pick_decode_server(const RoutedRequest& q, ServerIndex& best) {
     // Congested links: a state sent over one would arrive too late, and delay those behind it.
     std::array<bool, 3> late{};
     for (const std::size_t distance : {1, 2})
--- a/src/core/helpers.h
+++ b/src/core/helpers.h
@@ -29,14 +29,16 @@
 };
 
 // Spreads the bits of a hash evenly (finalizer of splitmix64).
-inline std::uint64_t mixed(std::uint64_t x) {
+inline std::uint64_t mix_bits(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31);
 }
 
 // Maps 64 random bits to [0, 1).
-inline double unit(std::uint64_t bits) { return static_cast<double>(bits >> 11) / 9007199254740992.0; }
+inline double unit_interval(std::uint64_t bits) {
+    return static_cast<double>(bits >> 11) / 9007199254740992.0;
+}
 
 // An exponential variate from a uniform one in [0, 1). The lowest of several falls on each of them in
 // proportion to its weight, as in weighted rendezvous hashing.
--- a/src/core/hold_ledger.cpp
+++ b/src/core/hold_ledger.cpp
@@ -14,13 +14,13 @@
 constexpr double kLeaseShare = 0.7;
 // After an attempt that ended without an answer a release is sent twice, this far apart: a prefill may
 // complete just as its connection is closed, and a server may read the release before the close.
-constexpr Span kRepeatDelay{250000};
+constexpr Duration kRepeatDelay{250000};
 constexpr std::size_t kMaxRequests = 100000;
 constexpr std::size_t kMaxEvents = 40;
 
 bool is_answered(Ending ending) {
-    return ending == Ending::settled || ending == Ending::error || ending == Ending::full ||
-           ending == Ending::read;
+    return ending == Ending::completed || ending == Ending::error || ending == Ending::refused ||
+           ending == Ending::prefilled;
 }
 bool never_sent(Ending ending) { return ending == Ending::unsent || ending == Ending::unreachable; }
 
@@ -93,7 +93,7 @@
     request->lease_released = true;
 }
 
-void HoldLedger::attempt_over(RequestKey key, AttemptId attempt, Ending ending, Instant now) {
+void HoldLedger::attempt_ended(RequestKey key, AttemptId attempt, Ending ending, Instant now) {
     Request* const request = find(key);
     if (request == nullptr) return;
     const auto it = std::find_if(request->in_flight.begin(), request->in_flight.end(),
@@ -101,14 +101,14 @@
     if (it == request->in_flight.end()) return;
     const Attempt ended = *it;
     request->in_flight.erase(it);
-    record(*request, now, Event::Kind::attempt_over, ended.server, ending);
+    record(*request, now, Event::Kind::attempt_ended, ended.server, ending);
     if (!never_sent(ending)) request->last_ended = now;
     if (is_answered(ending)) record_answered_end(*request, now);
     if (!is_answered(ending) && !never_sent(ending)) record_unanswered_end(*request, ended, now);
-    if (ended.prefill && ending == Ending::read)
+    if (ended.prefill && ending == Ending::prefilled)
         add_entry(*request, ended, HoldReason::prefill_answered, now);
-    const bool lost = ending == Ending::broken || ending == Ending::error;
-    const bool not_awaited = ending == Ending::late || ending == Ending::retracted;
+    const bool lost = ending == Ending::connection_lost || ending == Ending::error;
+    const bool not_awaited = ending == Ending::timed_out || ending == Ending::cancelled;
     if (ended.prefill && (lost || not_awaited)) {
         const bool began = ended.answer_began.us != 0;
         add_entry(*request, ended,
@@ -117,7 +117,7 @@
                          : HoldReason::prefill_not_awaited,
                   began ? ended.answer_began : now);
     }
-    if (ending == Ending::settled) {
+    if (ending == Ending::completed) {
         std::erase_if(request->entries,
                       [](const Entry& entry) { return entry.reason == HoldReason::prefill_answered; });
     }
@@ -147,8 +147,8 @@
         request.lease_released = false;
     }
     request.closes_arrived_at = std::max(request.closes_arrived_at, now + SendGuard::close_travel_time());
-    request.once_more = true;
-    request.unheard.push_back({attempt.server, attempt.prefill, attempt.started, now});
+    request.repeat_needed = true;
+    request.unanswered.push_back({attempt.server, attempt.prefill, attempt.started, now});
 }
 
 void HoldLedger::erase_if_done(RequestKey key) {
@@ -165,7 +165,7 @@
     return request != nullptr ? request->entries : none;
 }
 
-bool HoldLedger::is_attempt_out(RequestKey key) const {
+bool HoldLedger::has_attempt_in_flight(RequestKey key) const {
     const Request* const request = find(key);
     return request != nullptr && !request->in_flight.empty();
 }
@@ -184,21 +184,22 @@
 void HoldLedger::want_release(RequestKey key, AttemptId attempt) {
     Request* const request = find(key);
     if (request == nullptr) return;
-    for (Entry& entry : request->entries) entry.wanted = entry.wanted || entry.attempt == attempt;
+    for (Entry& entry : request->entries)
+        entry.release_wanted = entry.release_wanted || entry.attempt == attempt;
 }
 
-HoldLedger::Need HoldLedger::need_of_release(RequestKey key, Instant now) const {
+HoldLedger::Need HoldLedger::release_need(RequestKey key, Instant now) const {
     const Request* const request = find(key);
     if (request == nullptr || request->entries.empty()) return Need::nothing;
     const bool all_wanted = std::all_of(request->entries.begin(), request->entries.end(),
-                                        [](const Entry& entry) { return entry.wanted; });
+                                        [](const Entry& entry) { return entry.release_wanted; });
     if (!request->in_flight.empty() || !all_wanted) {
         const bool leased = request->lease_released || !has_lease() || now < lease_end(key) ||
                             is_sabotaged(Sabotage::lease_never_ends);
         return leased ? Need::not_yet : Need::due;
     }
     const bool overtakes = is_sabotaged(Sabotage::release_overtakes_close);
-    if (now < request->closes_arrived_at && !overtakes) return Need::close_sent;
+    if (now < request->closes_arrived_at && !overtakes) return Need::close_in_flight;
     return now < request->repeat_not_before ? Need::not_yet : Need::due;
 }
 
@@ -211,7 +212,7 @@
     ReleaseResult result;
     Request* const request = find(key);
     if (request == nullptr) {
-        result.proof = Proof::let_go;
+        result.proof = Proof::released;
         return result;
     }
     // A later request with the same key, for which nothing is held yet, or nothing any more: this answer says
@@ -227,7 +228,7 @@
         request->unusual = true;
         if (request->lease_released || written < lease_end(key)) return result;
         // An attempt that ended without an answer may still leave a state, so another lease starts.
-        request->lease_released = request->unheard.empty();
+        request->lease_released = request->unanswered.empty();
         if (!request->lease_released) request->lease_since = now;
         if (is_sabotaged(Sabotage::lease_release_ends_hold)) request->entries.clear();
         result.proof = Proof::lease_only;
@@ -237,19 +238,19 @@
     record(*request, now, Event::Kind::release_answered, by);
     const bool sent_once =
         is_sabotaged(Sabotage::release_told_once) || is_sabotaged(Sabotage::release_overtakes_close);
-    if (request->once_more && !sent_once) {
-        request->once_more = false;
+    if (request->repeat_needed && !sent_once) {
+        request->repeat_needed = false;
         request->repeat_not_before = now + kRepeatDelay;
         request->lease_since = now;
-        result.proof = Proof::once_more;
+        result.proof = Proof::repeat_needed;
         if (now - *result.held_since > release_within_) result.history = history(key);
         return result;
     }
     request->entries.clear();
-    result.proof = Proof::let_go;
+    result.proof = Proof::released;
     if (request->unusual || now - *result.held_since > release_within_) result.history = history(key);
-    result.unheard = std::move(request->unheard);
-    request->unheard.clear();
+    result.unanswered = std::move(request->unanswered);
+    request->unanswered.clear();
     erase_if_done(key);
     return result;
 }
@@ -261,14 +262,14 @@
     erase_if_done(key);
 }
 
-HoldLedger::ReleaseResult HoldLedger::give_up(RequestKey key) {
+HoldLedger::ReleaseResult HoldLedger::abandon(RequestKey key) {
     ReleaseResult result;
     Request* const request = find(key);
     if (request == nullptr) return result;
     result.held_since = request->lease_since;
     result.history = history(key);
-    result.unheard = std::move(request->unheard);
-    request->unheard.clear();
+    result.unanswered = std::move(request->unanswered);
+    request->unanswered.clear();
     request->entries.clear();
     erase_if_done(key);
     return result;
@@ -296,7 +297,7 @@
             case Event::Kind::stream_began:
                 description = "stream began at";
                 break;
-            case Event::Kind::attempt_over:
+            case Event::Kind::attempt_ended:
                 description = copperfront::text_of(event.ending);
                 break;
             case Event::Kind::release_written:
--- a/src/core/hold_ledger.h
+++ b/src/core/hold_ledger.h
@@ -45,22 +45,22 @@
 class HoldLedger {
   public:
     // `release_within`: time limit for a held state to be taken or released; 0: no limit.
-    explicit HoldLedger(Span release_within) : release_within_(release_within) {}
-    void change(Span release_within) { release_within_ = release_within; }
+    explicit HoldLedger(Duration release_within) : release_within_(release_within) {}
+    void set_release_within(Duration release_within) { release_within_ = release_within; }
 
     struct Entry {
         ServerIndex server = 0;
         AttemptId attempt = 0;  // the prefill that left the state
         HoldReason reason = HoldReason::prefill_answered;
         Instant since;
-        bool wanted = false;  // no attempt will take the state any more, so it is to be released
+        bool release_wanted = false;  // no attempt will take the state any more, so it is to be released
     };
     // An attempt that ended without an answer. Its server may hang, and start the attempt or see its close
     // only later.
-    struct UnheardAttempt {
+    struct UnansweredAttempt {
         ServerIndex server = 0;
         bool prefill = false;
-        Instant started, over_at;
+        Instant started, ended_at;
     };
 
     // ---- attempts
@@ -71,12 +71,12 @@
     // Its first event has arrived: it has taken the state, and every other state whose prefill was answered
     // is freed with it.
     void stream_began(RequestKey key, AttemptId attempt, Instant now);
-    void attempt_over(RequestKey key, AttemptId attempt, Ending ending, Instant now);
+    void attempt_ended(RequestKey key, AttemptId attempt, Ending ending, Instant now);
 
     // ---- held states
 
     const std::vector<Entry>& entries(RequestKey key) const;
-    bool is_attempt_out(RequestKey key) const;
+    bool has_attempt_in_flight(RequestKey key) const;
     // Until when a held state may be left to an attempt that has not answered; the rest of the time limit is
     // for the release itself to arrive.
     Instant lease_end(RequestKey key) const;
@@ -89,40 +89,40 @@
     // Records that no attempt will take the state of this prefill any more.
     void want_release(RequestKey key, AttemptId attempt);
     enum class Need {
-        nothing,     // no state is held
-        not_yet,     // an attempt may be waiting for the state, or its lease is running
-        close_sent,  // the close of an attempt may not have reached its server
+        nothing,          // no state is held
+        not_yet,          // an attempt may be waiting for the state, or its lease is running
+        close_in_flight,  // the close of an attempt may not have reached its server
         due,
     };
-    Need need_of_release(RequestKey key, Instant now) const;
+    Need release_need(RequestKey key, Instant now) const;
     // Records that a release is being written to a server.
     void release_written(RequestKey key, ServerIndex to, Instant now);
     // What the answer to a release proves.
     enum class Proof {
         nothing,
-        lease_only,  // an attempt may have been waiting for the state: to be repeated after its end
-        once_more,   // released; to be repeated once, as an attempt ended without an answer
-        let_go,      // no state is held any more
+        lease_only,     // an attempt may have been waiting for the state: to be repeated after its end
+        repeat_needed,  // released; to be repeated once, as an attempt ended without an answer
+        released,       // no state is held any more
     };
     struct ReleaseResult {
         Proof proof = Proof::nothing;
-        std::optional<Instant> held_since;    // start of the time limit; none: nothing was held
-        std::vector<UnheardAttempt> unheard;  // of the request; only with Proof::let_go
-        std::string history;                  // of the request, if its course was unusual
+        std::optional<Instant> held_since;          // start of the time limit; none: nothing was held
+        std::vector<UnansweredAttempt> unanswered;  // of the request; only with Proof::let_go
+        std::string history;                        // of the request, if its course was unusual
     };
     // A running server has answered a release that was written at `written`.
     ReleaseResult release_answered(RequestKey key, ServerIndex by, Instant written, Instant now);
     // For a transport whose messages arrive in order: a release that was sent counts as done.
     void assume_released(RequestKey key, AttemptId attempt);
     // No server could be reached in time.
-    ReleaseResult give_up(RequestKey key);
+    ReleaseResult abandon(RequestKey key);
 
     // ---- for logs and limits
 
     // The events of a request so far, with times in milliseconds from its first attempt.
     std::string history(RequestKey key) const;
     // Sets how servers are named in histories; the default is their index.
-    void name_servers(std::function<std::string(ServerIndex)> name) { name_of_ = std::move(name); }
+    void set_server_namer(std::function<std::string(ServerIndex)> name) { name_of_ = std::move(name); }
     std::size_t size() const { return requests_.size(); }
     // Requests that were not recorded because the ledger was full.
     std::uint64_t overflows() const { return overflows_; }
@@ -141,27 +141,27 @@
             hand_over_started,
             answer_began,
             stream_began,
-            attempt_over,
+            attempt_ended,
             release_written,
             release_answered,
             release_proves_nothing,
         };
         Instant at;
         Kind kind = Kind::prefill_started;
-        Ending ending = Ending::read;
+        Ending ending = Ending::prefilled;
         ServerIndex server = 0;
         std::uint32_t attempts_in_flight = 0;
     };
     struct Request {
         std::vector<Attempt> in_flight;
         std::vector<Entry> entries;
-        std::vector<UnheardAttempt> unheard;
+        std::vector<UnansweredAttempt> unanswered;
         Instant lease_since;          // start of the running lease
         bool lease_released = false;  // a release has been answered since the end of the lease
         Instant last_ended;           // when an attempt last ended
         Instant closes_arrived_at;    // from then on every ended attempt has ended on its server too
         Instant repeat_not_before;    // earliest time of the repeated release
-        bool once_more = false;       // an attempt ended without an answer
+        bool repeat_needed = false;   // an attempt ended without an answer
         bool unusual = false;         // a release met an attempt that may have been waiting
         std::vector<Event> events;
         std::uint32_t events_omitted = 0;
@@ -169,13 +169,13 @@
     Request* find(RequestKey key);
     const Request* find(RequestKey key) const;
     void record(Request& request, Instant at, Event::Kind kind, ServerIndex server,
-                Ending ending = Ending::read);
+                Ending ending = Ending::prefilled);
     void add_entry(Request& request, const Attempt& attempt, HoldReason reason, Instant since);
     void record_answered_end(Request& request, Instant now);
     void record_unanswered_end(Request& request, const Attempt& attempt, Instant now);
     void erase_if_done(RequestKey key);
 
-    Span release_within_;
+    Duration release_within_;
     std::unordered_map<RequestKey, Request> requests_;
     std::uint64_t overflows_ = 0;
     std::function<std::string(ServerIndex)> name_of_;
--- a/src/core/load_estimates.cpp
+++ b/src/core/load_estimates.cpp
@@ -11,7 +11,7 @@
 // A server may be asked for its report more often than it makes one. The same figure again counts as the same
 // report. A new report includes at the earliest what was sent before the last answer that still carried the
 // old one.
-void Rules::note_report(ServerIndex s, const LoadReport& report) {
+void Router::note_report(ServerIndex s, const LoadReport& report) {
     const auto take_figure = [](double figure, double& last_reported, ExponentialAverage& average,
                                 double& since_report, double& since_answer) {
         if (figure < 0) return;
@@ -21,8 +21,8 @@
         add_sample(average, figure, kRoleSampleWeight);
     };
     // Figures that the terms do not promise are ignored.
-    const double memory = terms_.reports_memory ? report.memory_share : -1;
-    const double queued = terms_.reports_unread ? report.unread_thousands * 1000 : -1;
+    const double memory = terms_.reports_memory_share ? report.memory_share : -1;
+    const double queued = terms_.reports_queued_tokens ? report.queued_kilotokens * 1000 : -1;
     take_figure(memory, reported_memory_[s], memory_by_kind_[kind_[s]], streams_since_report_[s],
                 streams_since_answer_[s]);
     take_figure(queued, reported_queue_[s], queue_by_kind_[kind_[s]], queued_since_report_[s],
@@ -31,56 +31,57 @@
     memory_reported_ |= memory >= 0 && does_decode(s);
 }
 
-Rules::CachedPrefixes Rules::cached_prefixes_of(const RoutedRequest& q) const {
-    return {session_prefixes_.find(q.info.session), shared_prefixes_.find(q.info.beginning)};
+Router::CachedPrefixes Router::cached_prefixes_of(const RoutedRequest& q) const {
+    return {session_prefixes_.find(q.info.session), shared_prefixes_.find(q.info.shared_prefix)};
 }
 
-double Rules::expected_cached_tokens(const RoutedRequest& q, const CachedPrefixes& prefixes,
-                                     ServerIndex s) const {
+double Router::expected_cached_tokens(const RoutedRequest& q, const CachedPrefixes& prefixes,
+                                      ServerIndex s) const {
     double cached = 0;
     if (const CachedPrefix* entry = prefixes.session)
         if (entry->server == s && entry->incarnation == incarnation_[s]) cached = entry->tokens;
     if (const CachedPrefix* entry = prefixes.shared_prefix)
         if (entry->server == s && entry->incarnation == incarnation_[s])
-            cached = std::max(cached, q.info.beginning_tokens);
+            cached = std::max(cached, q.info.shared_prefix_tokens);
     return std::min(cached, q.info.prompt_tokens);
 }
 
 // The output estimate is the client's hint, or half of the request's upper limit.
-double Rules::estimated_stream_tokens(const RoutedRequest& q) const {
+double Router::estimated_stream_tokens(const RoutedRequest& q) const {
     const Category& c = terms_.categories[q.info.category];
-    const double answer =
-        q.info.hint.us > 0 && c.token_gap.us > 0 ? q.info.hint / c.token_gap : q.info.most_tokens / 2;
+    const double answer = q.info.duration_hint.us > 0 && c.token_gap.us > 0
+                              ? q.info.duration_hint / c.token_gap
+                              : q.info.max_output_tokens / 2;
     return q.info.prompt_tokens + answer;
 }
 
 // Servers without a report count as the average of their kind: one average for all kinds would send
 // everything to the kind with the largest memory. A report fades into that average as the streams that it
 // counted end; otherwise gateways that rarely hear from a server would all act on outdated figures.
-double Rules::reported_or_average(ServerIndex s, const std::vector<double>& reported,
-                                  const std::vector<ExponentialAverage>& average) const {
+double Router::reported_or_average(ServerIndex s, const std::vector<double>& reported,
+                                   const std::vector<ExponentialAverage>& average) const {
     const double mean = average[kind_[s]].mean;
     return reported[s] < 0 ? mean : mean + (reported[s] - mean) * share_still_running(reported_at_[s]);
 }
 
-double Rules::share_still_running(Instant since) const {
+double Router::share_still_running(Instant since) const {
     const double stream_seconds = stream_time_.mean > 0 ? stream_time_.mean / 1000 : kRateWindowS;
     return std::exp(-seconds(now_ - since) / stream_seconds);
 }
 
 // Streams sent since the last report end too; otherwise notes of peers alone would mark a server as full for
 // good.
-void Rules::note_stream_sent(ServerIndex s, double tokens) {
+void Router::note_stream_sent(ServerIndex s, double tokens) {
     for (auto* tokens_sent : {&streams_since_report_, &streams_since_answer_})
         (*tokens_sent)[s] = (*tokens_sent)[s] * share_still_running(sent_at_[s]) + tokens;
     sent_at_[s] = now_;
 }
 
-double Rules::stream_tokens_since_report(ServerIndex s) const {
+double Router::stream_tokens_since_report(ServerIndex s) const {
     return streams_since_report_[s] * share_still_running(sent_at_[s]);
 }
 
-double Rules::queued_prompt_tokens(ServerIndex s) const {
+double Router::queued_prompt_tokens(ServerIndex s) const {
     if (queue_by_kind_[kind_[s]].samples == 0) return own_queued_tokens_[s];
     // Own tokens whose prefill has ended wait no longer, even if an idle prefill server's report stays the
     // same.
@@ -89,13 +90,13 @@
 }
 
 // A kind without any report counts as empty, so that it is tried.
-double Rules::decode_room(ServerIndex s) const {
+double Router::decode_room(ServerIndex s) const {
     if (!memory_reported_) return -own_stream_tokens_[s];
     return (1 - reported_or_average(s, reported_memory_, memory_by_kind_)) * memory_tokens_[s] -
            stream_tokens_since_report(s);
 }
 
-bool Rules::has_free_memory(ServerIndex s) const {
+bool Router::has_free_memory(ServerIndex s) const {
     if (reported_memory_[s] >= 0 && memory_tokens_[s] > 0 &&
         reported_or_average(s, reported_memory_, memory_by_kind_) +
                 stream_tokens_since_report(s) / memory_tokens_[s] >
@@ -104,9 +105,9 @@
     return now_ - full_at_[s] >= kFullBackoff;
 }
 
-bool Rules::has_room(ServerIndex s) const { return is_available(s) && has_free_memory(s); }
+bool Router::has_room(ServerIndex s) const { return is_available(s) && has_free_memory(s); }
 
-bool Rules::any_decode_room(const RoutedRequest& q) {
+bool Router::any_decode_room(const RoutedRequest& q) {
     const bool runs_anywhere = !q.may_have_run || terms_.categories[q.info.category].effect == Effect::pure;
     if (!runs_anywhere) return find_decode_room(q, ready_decode_);
     // Reported loads fade continuously, so the subset is not reused with them.
@@ -115,7 +116,7 @@
         servers_with_room_.rebuild(ready_decode_, [this](ServerIndex s) {
             if (ejected_until_[s] > now_) servers_with_room_.valid_until(ejected_until_[s]);
             if (full_at_[s] + kFullBackoff > now_) servers_with_room_.valid_until(full_at_[s] + kFullBackoff);
-            if (is_cold(s)) servers_with_room_.valid_until(started_at_[s] + terms_.warm_within);
+            if (is_cold(s)) servers_with_room_.valid_until(started_at_[s] + terms_.warm_up_time);
             return has_room(s);
         });
     }
@@ -125,7 +126,7 @@
 }
 
 // Records in which cells and zones this request may find room.
-bool Rules::find_decode_room(const RoutedRequest& q, const std::vector<ServerIndex>& servers) {
+bool Router::find_decode_room(const RoutedRequest& q, const std::vector<ServerIndex>& servers) {
     cell_room_.assign(cells_.size(), false);
     zone_room_.assign(zones_.size(), false);
     room_holds_for_all_requests_ = false;
@@ -136,22 +137,22 @@
 }
 
 // Prefill servers that may receive a request: ready, not recently full, and within their slow-start budget.
-const std::vector<ServerIndex>& Rules::prefill_candidates() {
+const std::vector<ServerIndex>& Router::prefill_candidates() {
     if (!prefill_candidates_.is_valid(now_)) {
         prefill_candidates_.rebuild(ready_prefill_, [this](ServerIndex s) {
             const Instant full_until = full_at_[s] + kFullBackoff;
             if (full_until > now_) prefill_candidates_.valid_until(full_until);
-            if (is_cold(s)) prefill_candidates_.valid_until(started_at_[s] + terms_.warm_within);
+            if (is_cold(s)) prefill_candidates_.valid_until(started_at_[s] + terms_.warm_up_time);
             return may_receive(s) && full_until <= now_;
         });
     }
     return prefill_candidates_.servers();
 }
 
-const std::vector<ServerIndex>& Rules::decode_candidates() {
+const std::vector<ServerIndex>& Router::decode_candidates() {
     if (!decode_candidates_.is_valid(now_)) {
         decode_candidates_.rebuild(ready_decode_, [this](ServerIndex s) {
-            if (is_cold(s)) decode_candidates_.valid_until(started_at_[s] + terms_.warm_within);
+            if (is_cold(s)) decode_candidates_.valid_until(started_at_[s] + terms_.warm_up_time);
             return may_receive(s);
         });
     }
@@ -162,7 +163,7 @@
 // at this server while that is fresh, otherwise over the whole role. Both fade; otherwise an overload that
 // has ended would still count. A server that reports its queue shows an overload by itself; single reports
 // are far off, so the pace is then that of all prefills together.
-double Rules::current_pace(ServerIndex s, Span goal) const {
+double Router::current_pace(ServerIndex s, Duration goal) const {
     if (queue_by_kind_[kind_[s]].samples > 0)
         return tokens_per_prefill_.samples < kMinPaceSamples ? 0.0
                                                              : prefill_time_.mean / tokens_per_prefill_.mean;
@@ -172,7 +173,7 @@
 }
 
 // Pace of the whole role. The result is cached, as many servers are compared for the same request.
-double Rules::role_pace(Span goal) const {
+double Router::role_pace(Duration goal) const {
     if (role_log_paces_[1].samples == 0) return 0;
     RolePace& cached = role_pace_;
     if (cached.at != now_ || cached.goal != goal || cached.samples != role_log_paces_[1].samples) {
--- a/src/core/prefill_placement.cpp
+++ b/src/core/prefill_placement.cpp
@@ -12,13 +12,14 @@
 // else. A prefix that many sessions share has as many preferred servers as its share of the traffic keeps
 // busy, and the session selects one of them. The weight is the share of the server's work that belongs to
 // this gateway's zone; otherwise a zone with few prefill servers would be overloaded.
-double Rules::affinity_score(const RoutedRequest& q, ServerIndex s) {
-    const std::uint64_t prefix = q.info.beginning != 0 ? q.info.beginning : q.info.session;
-    const double random = prefix != 0 ? unit(mixed(prefix ^ mixed(name_hash_[s]))) : random_unit();
+double Router::affinity_score(const RoutedRequest& q, ServerIndex s) {
+    const std::uint64_t prefix = q.info.shared_prefix != 0 ? q.info.shared_prefix : q.info.session;
+    const double random =
+        prefix != 0 ? unit_interval(mix_bits(prefix ^ mix_bits(name_hash_[s]))) : random_unit();
     return weighted_score(random, prefill_weight(s));
 }
 
-double Rules::compute_prefill_weight(ServerIndex s) const {
+double Router::compute_prefill_weight(ServerIndex s) const {
     const double target = 1.0 / static_cast<double>(zones_.size());
     const LocationShare& cell = cells_[cell_[s]];
     const double own_zone = zones_[terms_.zone].prefill_work, its_zone = zones_[zone_[s]].prefill_work;
@@ -30,27 +31,30 @@
                     spare_prefill_ > 0 ? cell_weight * excess * spare / spare_prefill_ / its_zone : 0.0);
 }
 
-std::size_t Rules::preferred_rank(const RoutedRequest& q, double total_weight) const {
+std::size_t Router::preferred_rank(const RoutedRequest& q, double total_weight) const {
     const double servers = std::max(1.0, q.prefix_share * total_weight * kPreferredPerBusyServer);
-    return q.info.beginning == 0 ? 0 : static_cast<std::size_t>(unit(mixed(q.info.session)) * servers);
+    return q.info.shared_prefix == 0
+               ? 0
+               : static_cast<std::size_t>(unit_interval(mix_bits(q.info.session)) * servers);
 }
 
 // Scores the candidates with at most this load; the lowest score wins.
-void Rules::score_candidates(const RoutedRequest& q, double max_load) {
+void Router::score_candidates(const RoutedRequest& q, double max_load) {
     scores_.clear();
     for (const ServerIndex s : candidates_)
         if (queued_prompt_tokens(s) <= max_load) scores_.emplace_back(affinity_score(q, s), s);
 }
 
 // The candidate whose score has this request's rank.
-ServerIndex Rules::preferred_server(const RoutedRequest& q, double total_weight) {
+ServerIndex Router::preferred_server(const RoutedRequest& q, double total_weight) {
     const std::size_t rank = std::min(candidates_.size() - 1, preferred_rank(q, total_weight));
-    const std::uint64_t prefix = q.info.beginning != 0 ? q.info.beginning : q.info.session;
+    const std::uint64_t prefix = q.info.shared_prefix != 0 ? q.info.shared_prefix : q.info.session;
     // A max-heap of the lowest scores up to that rank. A score is at least random / weight, so most
     // logarithms are skipped.
     scores_.clear();
     for (const ServerIndex s : candidates_) {
-        const double random = unit(mixed(prefix ^ mixed(name_hash_[s]))), weight = prefill_weight(s);
+        const double random = unit_interval(mix_bits(prefix ^ mix_bits(name_hash_[s]))),
+                     weight = prefill_weight(s);
         const bool is_full = scores_.size() > rank;
         if (is_full && random / weight > scores_.front().first) continue;
         scores_.emplace_back(weighted_score(random, weight), s);
@@ -62,7 +66,7 @@
     return scores_.front().second;
 }
 
-bool Rules::pick_prefill_server(const RoutedRequest& q, ServerIndex& best) {
+bool Router::pick_prefill_server(const RoutedRequest& q, ServerIndex& best) {
     const CachedPrefixes prefixes = cached_prefixes_of(q);
     bool any_able = false;  // some server can prefill and is not ejected
     // Pass 0: prefill servers. Pass 1: mixed servers. Pass 2: also servers that this request has just found
@@ -71,10 +75,10 @@
     for (const int pass : {0, 1, 2, 3}) {
         bool any_ejected = false, any_other_role = false;
         const auto is_eligible = [&](ServerIndex s) {
-            const bool fits_role = pass == 0 ? does_prefill(s)
-                                   : pass == 1
-                                       ? role_[s] == Role::mixed
-                                       : role_[s] != Role::writer || (terms_.writers_read && !any_able);
+            const bool fits_role =
+                pass == 0   ? does_prefill(s)
+                : pass == 1 ? role_[s] == Role::mixed
+                            : role_[s] != Role::decode || (terms_.decode_servers_prefill && !any_able);
             any_other_role |= !fits_role;
             if (!fits_role || !may_run_on(q, s) || !may_receive(s)) return false;
             if (pass < 3 && !is_available_to(q, s)) {
@@ -92,7 +96,7 @@
             least = std::min(least, queued_prompt_tokens(s));
             total_weight += prefill_weight(s);
         };
-        if (pass >= 2 && terms_.writers_read && !any_able) {
+        if (pass >= 2 && terms_.decode_servers_prefill && !any_able) {
             server_checks_ += server_count_;
             for (ServerIndex s = 0; s < server_count_; ++s) consider(s);
         } else {
@@ -115,11 +119,11 @@
             if (keeps_affinity(best, expected_cached_tokens(q, prefixes, best)))
                 return trace_choice(q, best, true, "it kept the session's text");
         }
-        if (q.info.beginning != 0 || q.info.session != 0) {
+        if (q.info.shared_prefix != 0 || q.info.session != 0) {
             best = preferred_server(q, total_weight);
             // A prefix that is new to this gateway is likely to be cached at its preferred server all the
             // same, above all after a restart of the gateway.
-            const double usual_cached = cached_share_.mean * q.info.beginning_tokens;
+            const double usual_cached = cached_share_.mean * q.info.shared_prefix_tokens;
             const double cached =
                 prefixes.shared_prefix ? expected_cached_tokens(q, prefixes, best) : usual_cached;
             if (keeps_affinity(best, cached))
@@ -154,7 +158,7 @@
 // only makes those behind it late as well. Prompts with a cached prefix pass more easily, as they cost the
 // least for the same gain. Without own attempts at the server, a long prompt counts as a typical one, or it
 // would never pass.
-bool Rules::is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const {
+bool Router::is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const {
     const double pace = current_pace(s, q.goal_deadline - q.arrived_at);
     const double cached_share = cached / std::max(1.0, q.info.prompt_tokens);
     const double goal_share =
@@ -163,15 +167,15 @@
     const double tokens =
         queued_prompt_tokens(s) +
         (unanswered_attempts_[s] > 0 ? uncached : std::min(uncached, 2 * prompt_length_.mean));
-    const Span prefill_time = kMs * (pace * (tokens + kMinPrefillPrompts * prompt_length_.mean)),
-               useful_time = useful_until(q) - q.arrived_at;
+    const Duration prefill_time = kMs * (pace * (tokens + kMinPrefillPrompts * prompt_length_.mean)),
+                   useful_time = useful_until(q) - q.arrived_at;
     return now_ + prefill_time > q.arrived_at + useful_time * goal_share ||
            is_transfer_late(q, s, prefill_time);
 }
 
 // Whether the state would wait for a congested link. The request then waits before its prefill, as it does
 // for decode servers.
-bool Rules::is_transfer_late(const RoutedRequest& q, ServerIndex s, Span prefill_time) const {
+bool Router::is_transfer_late(const RoutedRequest& q, ServerIndex s, Duration prefill_time) const {
     if (!does_prefill(s) || cell_room_[cell_[s]]) return false;
     return now_ + prefill_time + kMs * hand_over_time(zone_room_[zone_[s]] ? 1 : 2) > useful_until(q);
 }
@@ -179,8 +183,8 @@
 // Reports that come with answers are mostly old at a gateway with few requests. A probe waits in a prefill
 // server's queue, so a server that answers one at once has no queue. The preferred server is probed, and the
 // next one by score.
-void Rules::probe_preferred_servers(RoutedRequest& q) {
-    if (!terms_.probes || !terms_.reports_unread || probe_credit_ < 2 || !any_decode_room(q)) return;
+void Router::probe_preferred_servers(RoutedRequest& q) {
+    if (!terms_.probes || !terms_.reports_queued_tokens || probe_credit_ < 2 || !any_decode_room(q)) return;
     scores_.clear();
     double total_weight = 0;
     for (ServerIndex s = 0; s < server_count_; ++s) {
@@ -206,7 +210,7 @@
     schedule_sweep(terms_.quantum);
 }
 
-bool Rules::answered_probe_quickly(const RoutedRequest& q, ServerIndex s) const {
+bool Router::answered_probe_quickly(const RoutedRequest& q, ServerIndex s) const {
     return probe_answered_at_[s] >= q.arrived_at && probe_duration_[s] <= q.probe_deadline - q.arrived_at &&
            is_available_to(q, s) && may_run_on(q, s);
 }
--- a/src/core/release_policy.h
+++ b/src/core/release_policy.h
@@ -12,36 +12,36 @@
 
 // Releases that are due.
 // Without an answer for this long, twice as many further servers are called.
-inline constexpr Span kNextRoundAfter{80000};
-inline constexpr Span kAnswerWithin{400000};  // for one call, including connecting
-inline constexpr Span kGiveUpAfter{10000000};
-inline constexpr std::size_t kMostCallsAtOnce = 24;
+inline constexpr Duration kNextRoundDelay{80000};
+inline constexpr Duration kReleaseCallTimeout{400000};  // for one call, including connecting
+inline constexpr Duration kReleaseTimeout{10000000};
+inline constexpr std::size_t kMaxConcurrentCalls = 24;
 // After this many unanswered calls most of the fleet hangs: from then on only a few are made at a time.
-inline constexpr std::uint32_t kManyTries = 64;
-inline constexpr std::uint32_t kCallsOfSlowRound = 2;
-inline constexpr Span kNextSlowRoundAfter{200000};
+inline constexpr std::uint32_t kSlowRoundThreshold = 64;
+inline constexpr std::uint32_t kCallsPerSlowRound = 2;
+inline constexpr Duration kNextSlowRoundDelay{200000};
 // Delay of a release after an attempt that may be followed immediately by another one of the same request.
-inline constexpr Span kBeforeFollowing{50000};
+inline constexpr Duration kFollowUpDelay{50000};
 // A server may hang once a message has been unanswered, and nothing received from it, for this long.
-inline constexpr Span kMayHangAfter{150000};
+inline constexpr Duration kSuspectHungAfter{150000};
 
 // Attempts that ended without an answer on a server that has sent nothing since.
-inline constexpr Span kFollowedAtMost{30000000};
-inline constexpr Span kFollowedAfterRemoval{10000000};  // once its server is no longer in the list
-inline constexpr Span kFollowedAnswerWithin{600000};    // then the server is called on another connection
-inline constexpr Span kAskAgainAfter{500000};           // after a failed connection
+inline constexpr Duration kMaxFollowTime{30000000};
+inline constexpr Duration kMaxFollowTimeAfterRemoval{10000000};  // once its server is no longer in the list
+inline constexpr Duration kFollowCallTimeout{600000};  // then the server is called on another connection
+inline constexpr Duration kFollowRetryDelay{500000};   // after a failed connection
 // Once its server answers, a prefill may still take a while: a release is sent after the first delay, then at
 // intervals shorter than the time a state may be held. A hand-over ends as soon as the server sees its close.
-inline constexpr Span kFirstReleaseAfter{250000}, kNextReleaseAfter{700000};
-inline constexpr std::uint32_t kMostAnswersOfPrefill = 4, kMostAnswersOfHandOver = 2;
+inline constexpr Duration kFirstReleaseDelay{250000}, kNextReleaseDelay{700000};
+inline constexpr std::uint32_t kMaxPrefillAnswers = 4, kMaxHandOverAnswers = 2;
 
 // Returns the stride with which servers that have never answered are called in a list of `entries`: each is
 // visited once, and far from those called last, as neighbours often fail together, for example as a zone.
-std::size_t step_through_list(std::size_t entries);
+std::size_t list_stride(std::size_t entries);
 
 // What is known about the server of an attempt that ended without an answer.
-struct UnheardAttemptServer {
-    Instant attempt_started, attempt_over;
+struct UnansweredAttemptServer {
+    Instant attempt_started, attempt_ended;
     Instant address_since;  // when its present address was first known
     Instant last_heard;     // at that address; zero: never
     Instant hung_until;     // at that address; zero: it never has
@@ -51,6 +51,6 @@
 bool has_moved(Instant attempt_started, Instant address_since);
 // Whether the attempt may still be started or end on its server: the server hangs, or it did when the attempt
 // ended and may still be busy with its work of that time, or it has a different address now.
-bool may_end_late(const UnheardAttemptServer& server);
+bool may_end_late(const UnansweredAttemptServer& server);
 
 }  // namespace copperfront::release_policy
--- a/src/core/retries.cpp
+++ b/src/core/retries.cpp
@@ -9,27 +9,28 @@
 // Time left in which a request that may have run can be sent again. Effectful requests: none. Receipted ones:
 // while servers remember the request, less what a connection may take to be made. The host enforces the limit
 // as well, whenever the connection is made.
-Span Rules::repeat_time_left(const RoutedRequest& q) const {
+Duration Router::repeat_time_left(const RoutedRequest& q) const {
     const Category& c = terms_.categories[q.info.category];
     if (!q.may_have_run || c.effect == Effect::pure) return q.deadline - now_;
-    const Span left = q.ran_since + c.window - terms_.connect_within - now_;
-    return c.effect == Effect::effectful ? Span{} : left;
+    const Duration left = q.ran_since + c.window - terms_.connect_timeout - now_;
+    return c.effect == Effect::effectful ? Duration{} : left;
 }
 
 // Receipted requests that may have run stay within the servers that drop their repeat.
-bool Rules::may_run_on(const RoutedRequest& q, ServerIndex s) const {
+bool Router::may_run_on(const RoutedRequest& q, ServerIndex s) const {
     const Category& c = terms_.categories[q.info.category];
     if (!q.may_have_run || c.effect == Effect::pure) return true;
     if (repeat_time_left(q).us <= 0) return false;
-    if (c.group == Group::zone) return zone_[s] == q.ran_zone;
-    return c.group == Group::all || cell_[s] == q.ran_cell;
+    if (c.group == DedupScope::zone) return zone_[s] == q.ran_zone;
+    return c.group == DedupScope::all || cell_[s] == q.ran_cell;
 }
 
 // The prefill has ended, so the state goes to the decode server with the most free memory now.
-void Rules::hand_over(QueryIndex i) {
+void Router::hand_over(RequestIndex i) {
     RoutedRequest& q = requests_[i];
-    if (status_[q.state_server] == Standing::gone || incarnation_[q.state_server] != q.state_incarnation ||
-        is_overdue(q) || repeat_time_left(q).us <= 0 || q.attempts >= attempt_limit(q)) {
+    if (status_[q.state_server] == ServerStatus::removed ||
+        incarnation_[q.state_server] != q.state_incarnation || is_overdue(q) || repeat_time_left(q).us <= 0 ||
+        q.attempts >= attempt_limit(q)) {
         release_state(i);
         return retry_or_end(i);
     }
@@ -38,27 +39,27 @@
     wait_for_decode(i);
 }
 
-void Rules::release_state(QueryIndex i) {
+void Router::release_state(RequestIndex i) {
     host_.release(i);
     requests_[i].has_state = false;
 }
 
-void Rules::wait_for_decode(QueryIndex i) {
+void Router::wait_for_decode(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     q.stage = Stage::waiting_for_decode;
-    host_.held(i, "no writer can take its state");
+    host_.request_waits(i, "no writer can take its state");
     waiting_for_decode_.emplace_back(i, q.serial);
     schedule_sweep(terms_.release_within * 0.25);
 }
 
 // A state may wait only as long as the terms allow it to be held, less a margin for hand-overs that never
 // connect.
-bool Rules::is_overdue(const RoutedRequest& q) const {
-    const Span limit = q.info.hand_over_within, allowed = terms_.release_within * 0.6;
+bool Router::is_overdue(const RoutedRequest& q) const {
+    const Duration limit = q.info.hand_over_timeout, allowed = terms_.release_within * 0.6;
     return now_ - q.waiting_since >= (limit.us > 0 ? std::min(limit, allowed) : allowed);
 }
 
-void Rules::serve_waiting_for_decode() {
+void Router::serve_waiting_for_decode() {
     for (std::size_t n = waiting_for_decode_.size(); n > 0; --n) {
         const auto [i, serial] = waiting_for_decode_.front();
         waiting_for_decode_.pop_front();
@@ -80,12 +81,12 @@
 }
 
 // A request may have a tighter limit of its own, and each further attempt is charged to its retry budget.
-std::uint32_t Rules::attempt_limit(const RoutedRequest& q) const {
-    const std::uint32_t limit = q.info.most_attempts;
+std::uint32_t Router::attempt_limit(const RoutedRequest& q) const {
+    const std::uint32_t limit = q.info.max_attempts;
     return limit > 0 ? std::min(limit, terms_.max_attempts) : terms_.max_attempts;
 }
 
-void Rules::retry_or_end(QueryIndex i) {
+void Router::retry_or_end(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     // A prefill without an attempt left for its hand-over would be wasted.
     const char* why = q.may_have_run && repeat_time_left(q).us <= 0 ? "it may have run"
@@ -94,28 +95,28 @@
                       : !host_.may_attempt_again(i, q.last_ending)  ? "its route has no further launch left"
                                                                     : nullptr;
     if (!why) return requeue(i);
-    host_.ends(i, why);
-    end_request(i, terms_.max_stay_away * 0.25);
+    host_.request_ends(i, why);
+    end_request(i, terms_.max_retry_after * 0.25);
 }
 
 // Gives the final answer at once. A rejection tells the client that sending the request again is harmless,
 // for as long as a further attempt of the client may take.
-void Rules::end_request(QueryIndex i, Span stay_away) {
+void Router::end_request(RequestIndex i, Duration retry_after) {
     RoutedRequest& q = requests_[i];
     const Category& c = terms_.categories[q.info.category];
     if (q.in_flight && q.stage == Stage::decoding && q.has_state) note_hand_over(q, now_ - q.sent_at);
     const bool is_repeatable =
         (!q.may_have_run && !q.in_flight) || c.effect == Effect::pure ||
-        (c.group == Group::all && repeat_time_left(q) >= q.info.budget + terms_.max_stay_away);
-    is_repeatable ? host_.decline(i, stay_away) : host_.give_up(i);
+        (c.group == DedupScope::all && repeat_time_left(q) >= q.info.time_budget + terms_.max_retry_after);
+    is_repeatable ? host_.reject(i, retry_after) : host_.abandon(i);
     finish(i);
 }
 
 // No answer releases a state, so the end of every request does; a state that an attempt still in flight
 // brings back is released then.
-void Rules::finish(QueryIndex i) {
+void Router::finish(RequestIndex i) {
     RoutedRequest& q = requests_[i];
-    if (q.in_flight && terms_.cancel && q.stage != Stage::streaming) host_.retract(i, q.attempts - 1);
+    if (q.in_flight && terms_.cancel && q.stage != Stage::streaming) host_.cancel_attempt(i, q.attempts - 1);
     q.stage = Stage::finished;
     release_state(i);
 }
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -13,7 +13,7 @@
 
 namespace copperfront {
 
-Rules::Rules(const Terms& terms, Host& host, std::uint32_t seed)
+Router::Router(const Terms& terms, Host& host, std::uint32_t seed)
     : terms_(terms),
       host_(host),
       now_(host.now()),
@@ -33,7 +33,7 @@
 }
 
 // Learned averages and spent budgets stay: a change of terms is not a restart.
-void Rules::terms_changed(const Terms& terms) {
+void Router::terms_changed(const Terms& terms) {
     now_ = host_.now();
     terms_ = terms;
     work_by_category_.resize(terms_.categories.size());
@@ -46,11 +46,11 @@
     serve_queues();
 }
 
-void Rules::add_servers_up_to(ServerIndex s) {
+void Router::add_servers_up_to(ServerIndex s) {
     if (s < server_count_) return;
     server_count_ = s + 1;
     role_.resize(server_count_, Role::mixed);
-    status_.resize(server_count_, Standing::gone);
+    status_.resize(server_count_, ServerStatus::removed);
     name_hash_.resize(server_count_);
     for (auto* ids : {&zone_, &kind_}) ids->resize(server_count_);
     for (auto* counts : {&cell_, &incarnation_, &pace_samples_, &unanswered_attempts_})
@@ -71,7 +71,7 @@
 }
 
 // A new server process has nothing of what its predecessor was sent, cached or was judged by.
-void Rules::reset_server(ServerIndex s) {
+void Router::reset_server(ServerIndex s) {
     ++incarnation_[s];
     for (auto& suspensions : suspensions_) suspensions[s] = {};
     full_at_[s] = now_ - kFullBackoff * 2;
@@ -90,53 +90,53 @@
     slow_start_refilled_at_[s] = now_;
 }
 
-void Rules::list_arrived(std::span<const Listing> entries, bool whole) {
+void Router::list_arrived(std::span<const ServerListing> entries, bool is_snapshot) {
     now_ = host_.now();
     const std::size_t known_servers = server_count_;
     ServerIndex highest = 0;
-    for (const Listing& e : entries) highest = std::max(highest, e.server);
+    for (const ServerListing& e : entries) highest = std::max(highest, e.server);
     if (!entries.empty()) add_servers_up_to(highest);
     std::vector<bool> listed(server_count_, false), is_known(server_count_, false);
     std::fill_n(is_known.begin(), known_servers, true);
-    for (const Listing& e : entries) {
+    for (const ServerListing& e : entries) {
         const ServerIndex s = e.server;
         listed[s] = true;
-        if (!is_known[s] || started_at_[s] != e.born) reset_server(s);
+        if (!is_known[s] || started_at_[s] != e.started_at) reset_server(s);
         is_known[s] = true;
         role_[s] = terms_.kinds[e.kind].role;
         kind_[s] = e.kind;
         memory_tokens_[s] = terms_.kinds[e.kind].memory_tokens;
         zone_[s] = e.zone;
         cell_[s] = e.cell;
-        name_hash_[s] = e.mark;
-        started_at_[s] = e.born;
-        status_[s] = e.standing;
+        name_hash_[s] = e.name_hash;
+        started_at_[s] = e.started_at;
+        status_[s] = e.status;
     }
-    if (whole)
+    if (is_snapshot)
         for (ServerIndex s = 0; s < server_count_; ++s)
-            if (!listed[s]) status_[s] = Standing::gone;
+            if (!listed[s]) status_[s] = ServerStatus::removed;
     compute_fleet_shares();
     listed_servers_changed();
     serve_queues();
 }
 
 // The old list stays in use. Asking again at once would load the one list service that all gateways share.
-void Rules::list_missed() {
+void Router::list_fetch_failed() {
     if (!terms_.ask_for_list) return;
     std::uniform_int_distribution<std::int64_t> delay_ms(200, 1000);
     host_.set_timer(kMs * static_cast<double>(delay_ms(random_)), kListKey);
 }
 
-double Rules::random_unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+double Router::random_unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-void Rules::send(QueryIndex i, ServerIndex s, bool is_prefill) {
+void Router::send(RequestIndex i, ServerIndex s, bool is_prefill) {
     RoutedRequest& q = requests_[i];
     q.stage = is_prefill ? Stage::prefilling : Stage::decoding;
     q.server = s;
     q.server_incarnation = incarnation_[s];
     q.in_flight = true;
     q.cancelled = q.has_first_token = false;
-    q.at_prefill_server = role_[s] == Role::reader;
+    q.at_prefill_server = role_[s] == Role::prefill;
     q.sent_at = now_;
     q.state_incarnation = is_prefill ? incarnation_[s] : q.state_incarnation;
     if (!q.may_have_run) q.ran_since = q.sent_at, q.ran_zone = zone_[s], q.ran_cell = cell_[s];
@@ -169,22 +169,22 @@
     }
     // No shorter limit than the deadline by default: under overload every attempt would run into it, and its
     // work would be asked for again.
-    const Span timeout = is_prefill ? q.info.read_within : q.info.first_token_within;
-    const Span time_left = q.deadline - now_;
+    const Duration timeout = is_prefill ? q.info.prefill_timeout : q.info.first_token_timeout;
+    const Duration time_left = q.deadline - now_;
     host_.start_attempt(i, s,
                         {timeout.us > 0 ? std::min(timeout, time_left) : time_left, repeat_time_left(q)});
     schedule_silence_check();
 }
 
 // Counts the attempts that a server has not answered yet.
-void Rules::change_unanswered(ServerIndex s, int by) {
+void Router::change_unanswered(ServerIndex s, int by) {
     unanswered_attempts_[s] += static_cast<std::uint32_t>(by);
     // An ejected server gets one attempt at a time.
     if (ejection_time_[s].us > 0) servers_with_room_.invalidate();
 }
 
 // Takes the ended attempt out of its server's load; a process started since does not have it.
-void Rules::uncount_attempt(RoutedRequest& q) {
+void Router::uncount_attempt(RoutedRequest& q) {
     if (!q.in_flight) return;
     q.in_flight = false;
     const ServerIndex s = q.server;
@@ -196,7 +196,7 @@
     q.prefill_tokens = q.stream_tokens = 0;
 }
 
-void Rules::stream_began(QueryIndex i, Span took) {
+void Router::stream_began(RequestIndex i, Duration duration) {
     now_ = host_.now();
     RoutedRequest& q = requests_[i];
     const ServerIndex s = q.server;
@@ -211,22 +211,23 @@
     if (q.stage == Stage::finished) return;
     q.stage = Stage::streaming;
     recent_decodes_ += 1;
-    add_sample(first_token_time_, took.ms());
-    if (q.has_state) note_hand_over(q, took);
+    add_sample(first_token_time_, duration.ms());
+    if (q.has_state) note_hand_over(q, duration);
     answered_sent_at_[false][s] = std::max(answered_sent_at_[false][s], q.sent_at);
     note_category_answered(q, s);
-    note_success(s, took.ms(), !q.has_state);
+    note_success(s, duration.ms(), !q.has_state);
     q.has_state = false;
     goal_usage_ += 0.05 * ((now_ - q.arrived_at) / (q.goal_deadline - q.arrived_at) - goal_usage_);
 }
 
-void Rules::remember_cached_prefix(const RoutedRequest& q, ServerIndex s) {
-    const Arrival& f = q.info;
+void Router::remember_cached_prefix(const RoutedRequest& q, ServerIndex s) {
+    const RequestInfo& f = q.info;
     if (f.session != 0) session_prefixes_.put(f.session, {s, incarnation_[s], f.prompt_tokens});
-    if (f.beginning != 0) shared_prefixes_.put(f.beginning, {s, incarnation_[s], f.beginning_tokens});
+    if (f.shared_prefix != 0)
+        shared_prefixes_.put(f.shared_prefix, {s, incarnation_[s], f.shared_prefix_tokens});
 }
 
-void Rules::attempt_ended(QueryIndex i, ServerIndex s, const Outcome& outcome) {
+void Router::attempt_ended(RequestIndex i, ServerIndex s, const AttemptOutcome& outcome) {
     now_ = host_.now();
     RoutedRequest& q = requests_[i];
     const bool is_prefill = q.stage == Stage::prefilling;
@@ -238,41 +239,43 @@
 
     const Ending e = outcome.ending;
     const bool ended_locally =
-        e == Ending::retracted || e == Ending::late || e == Ending::unreachable || e == Ending::unsent;
+        e == Ending::cancelled || e == Ending::timed_out || e == Ending::unreachable || e == Ending::unsent;
     if (!ended_locally) last_heard_at_[s] = now_;
     const bool same_process = q.server_incarnation == incarnation_[s];
-    if (!ended_locally && same_process) connected_at_[s] = e == Ending::broken ? Instant{} : now_;
+    if (!ended_locally && same_process) connected_at_[s] = e == Ending::connection_lost ? Instant{} : now_;
     if (e == Ending::unreachable) eject(s, true);
-    if (e == Ending::error || e == Ending::late || (e == Ending::broken && !outcome.stale)) note_failure(s);
-    if (e == Ending::full && !outcome.no_state) {
+    if (e == Ending::error || e == Ending::timed_out ||
+        (e == Ending::connection_lost && !outcome.stale_connection))
+        note_failure(s);
+    if (e == Ending::refused && !outcome.state_missing) {
         full_at_[s] = now_;
         availability_changed(s);
     }
-    if (e == Ending::read) {
+    if (e == Ending::prefilled) {
         answered_sent_at_[true][s] = std::max(answered_sent_at_[true][s], q.sent_at);
         note_category_answered(q, s);
         recent_prefills_ += 1;
-        add_sample(prefill_time_, outcome.took.ms());
-        const double tokens = tokens_ahead + q.info.prompt_tokens - outcome.kept_tokens;
+        add_sample(prefill_time_, outcome.duration.ms());
+        const double tokens = tokens_ahead + q.info.prompt_tokens - outcome.cached_tokens;
         add_sample(tokens_per_prefill_, tokens + kMinPrefillPrompts * prompt_length_.mean);
-        note_success(s, outcome.took.ms() / (tokens + kMinPrefillPrompts * prompt_length_.mean), true);
-        if (q.info.beginning_tokens > 0)
-            add_sample(cached_share_, std::min(1.0, outcome.kept_tokens / q.info.beginning_tokens));
+        note_success(s, outcome.duration.ms() / (tokens + kMinPrefillPrompts * prompt_length_.mean), true);
+        if (q.info.shared_prefix_tokens > 0)
+            add_sample(cached_share_, std::min(1.0, outcome.cached_tokens / q.info.shared_prefix_tokens));
         remember_cached_prefix(q, s);
     }
-    if (e == Ending::settled) add_sample(stream_time_, outcome.took.ms());
-    if (e == Ending::late)
-        add_sample(q.at_prefill_server ? prefill_time_ : first_token_time_, outcome.took.ms());
+    if (e == Ending::completed) add_sample(stream_time_, outcome.duration.ms());
+    if (e == Ending::timed_out)
+        add_sample(q.at_prefill_server ? prefill_time_ : first_token_time_, outcome.duration.ms());
 
-    if (q.stage == Stage::finished || outcome.over) {
+    if (q.stage == Stage::finished || outcome.request_answered) {
         q.stage = Stage::finished;
         host_.release(i);
         return serve_queues();
     }
-    const bool may_have_run =
-        e == Ending::error || e == Ending::late || e == Ending::broken || e == Ending::retracted;
+    const bool may_have_run = e == Ending::error || e == Ending::timed_out || e == Ending::connection_lost ||
+                              e == Ending::cancelled;
     q.may_have_run |= may_have_run && !q.at_prefill_server;
-    if (e == Ending::read) {
+    if (e == Ending::prefilled) {
         q.has_state = true;
         q.state_server = s;
         q.waiting_since = now_;
@@ -282,25 +285,25 @@
         // A lost answer: the prefix is likely to be cached at that prefill server now, and the state to have
         // left for that decode server, so the prefill server is not avoided. A server that is silent may
         // hang, so the prompt is prefilled elsewhere.
-        if (!is_prefill || e != Ending::broken) q.avoided_servers.push_back(s);
-        if (e == Ending::broken || e == Ending::retracted) {
+        if (!is_prefill || e != Ending::connection_lost) q.avoided_servers.push_back(s);
+        if (e == Ending::connection_lost || e == Ending::cancelled) {
             q.answer_lost = true;
-            if (!is_prefill && q.has_state && !outcome.stale) release_state(i);
+            if (!is_prefill && q.has_state && !outcome.stale_connection) release_state(i);
         }
         if (e != Ending::unreachable) q.waiting_since = now_;
         q.last_ending = e;
         const bool repeat_window_over = !is_prefill && q.may_have_run && repeat_time_left(q).us <= 0;
         if (e == Ending::unsent || q.deadline <= now_ + terms_.quantum || repeat_window_over) {
-            end_request(i, Span{0});
-        } else if (is_prefill || outcome.no_state) {
-            if (outcome.no_state && q.has_state) note_failure(q.state_server);
+            end_request(i, Duration{0});
+        } else if (is_prefill || outcome.state_missing) {
+            if (outcome.state_missing && q.has_state) note_failure(q.state_server);
             release_state(i);
             retry_or_end(i);
         } else if (!q.has_state) {
             retry_or_end(i);
         } else if (!host_.may_attempt_again(i, q.last_ending)) {
-            end_request(i, terms_.max_stay_away * 0.25);
-        } else if (e == Ending::full && q.attempts < attempt_limit(q) && !any_decode_room(q)) {
+            end_request(i, terms_.max_retry_after * 0.25);
+        } else if (e == Ending::refused && q.attempts < attempt_limit(q) && !any_decode_room(q)) {
             wait_for_decode(i);
         } else {
             hand_over(i);
@@ -309,7 +312,7 @@
     serve_queues();
 }
 
-void Rules::state_expired(QueryIndex i) {
+void Router::lease_expired(RequestIndex i) {
     now_ = host_.now();
     RoutedRequest& q = requests_[i];
     q.has_state = false;
@@ -319,7 +322,7 @@
     serve_queues();
 }
 
-void Rules::query_left(QueryIndex i) {
+void Router::client_left(RequestIndex i) {
     now_ = host_.now();
     RoutedRequest& q = requests_[i];
     if (q.stage == Stage::finished) return;
@@ -327,24 +330,24 @@
     serve_queues();
 }
 
-void Rules::schedule_sweep(Span after) {
+void Router::schedule_sweep(Duration after) {
     const Instant at = now_ + std::max(after, terms_.quantum);
     if (sweep_at_ > now_ && sweep_at_ <= at) return;
     sweep_at_ = at;
     host_.set_timer(at - now_, kSweepKey);
 }
 
-void Rules::timer_rang(TimerKey key) {
+void Router::timer_fired(TimerKey key) {
     now_ = host_.now();
     if (key >= kRequestKeys) {
-        const auto i = static_cast<QueryIndex>((key - kRequestKeys) >> 30);
+        const auto i = static_cast<RequestIndex>((key - kRequestKeys) >> 30);
         const auto serial = static_cast<std::uint32_t>(key & ((1U << 30) - 1));
         if (i >= requests_.size()) return;
         RoutedRequest& q = requests_[i];
         if (q.serial % (1U << 30) != serial || q.stage == Stage::finished || q.stage == Stage::streaming)
             return;
         goal_usage_ += 0.05 * (1.5 - goal_usage_);
-        end_request(i, Span{0});
+        end_request(i, Duration{0});
         return serve_queues();
     }
     if (key == kSweepKey) {
--- a/src/core/rules.h
+++ b/src/core/rules.h
@@ -20,54 +20,55 @@
 namespace copperfront {
 
 // What the server list says of a server.
-enum class Standing { ready, draining, gone };
+enum class ServerStatus { ready, draining, removed };
 
 // One entry of the server list.
-struct Listing {
+struct ServerListing {
     ServerIndex server = 0;
     std::uint16_t kind = 0;
     std::uint16_t zone = 0;
     std::uint32_t cell = 0;  // cells are numbered densely from 0
-    Instant born;            // start of the server process; 0: long ago
-    Standing standing = Standing::ready;
-    std::uint64_t mark = 0;  // hash of the server's name, the same at all gateways and otherwise arbitrary
+    Instant started_at;      // start of the server process; 0: long ago
+    ServerStatus status = ServerStatus::ready;
+    std::uint64_t name_hash =
+        0;  // hash of the server's name, the same at all gateways and otherwise arbitrary
 };
 
 // What the router knows about a request when it arrives.
-struct Arrival {
+struct RequestInfo {
     std::uint16_t category = 0;
-    std::int32_t client_group = -1;  // -1: none
-    std::uint64_t session = 0;       // 0: none
-    std::uint64_t beginning = 0;     // hash of a prompt prefix that other sessions share; 0: none
+    std::int32_t client_group = -1;   // -1: none
+    std::uint64_t session = 0;        // 0: none
+    std::uint64_t shared_prefix = 0;  // hash of a prompt prefix that other sessions share; 0: none
     double prompt_tokens = 0;
-    double beginning_tokens = 0;
-    double most_tokens = 0;   // upper limit of the output
-    Span hint;                // rough duration of the answer; 0: none
-    Span budget;              // until the client stops waiting; it may send the request again after that
-    std::int32_t avoid = -1;  // server that the first attempt avoids; -1: none
+    double shared_prefix_tokens = 0;
+    double max_output_tokens = 0;  // upper limit of the output
+    Duration duration_hint;        // rough duration of the answer; 0: none
+    Duration time_budget;          // until the client stops waiting; it may send the request again after that
+    std::int32_t avoided_server = -1;  // server that the first attempt avoids; -1: none
     // The request's own limits; 0: only those of the terms apply.
-    std::uint32_t most_attempts = 0;
-    Span read_within, hand_over_within, first_token_within;
+    std::uint32_t max_attempts = 0;
+    Duration prefill_timeout, hand_over_timeout, first_token_timeout;
 };
 
 // Load of a server as it reports it, with answers or to probes.
 struct LoadReport {
     double memory_share = -1;  // -1: not in the report
-    double unread_thousands = -1;
+    double queued_kilotokens = -1;
 };
 
 // How an attempt ended.
-struct Outcome {
+struct AttemptOutcome {
     Ending ending = Ending::error;
-    Span took;
-    double kept_tokens = 0;
-    bool no_state = false;
-    bool over = false;  // the request has had its final answer
+    Duration duration;
+    double cached_tokens = 0;
+    bool state_missing = false;
+    bool request_answered = false;  // the request has had its final answer
     // The attempt failed on a connection reused from an earlier attempt, before any byte of the answer. That
     // says something about the connection, not the server, which most likely never saw the attempt.
-    bool stale = false;
+    bool stale_connection = false;
     // The attempt failed because this gateway closed the connection; the server has not seen the close yet.
-    bool closed_here = false;
+    bool closed_by_gateway = false;
     LoadReport report;
 };
 
@@ -86,7 +87,7 @@
 // State of a request between its arrival and its final answer. A server's incarnation counts the processes
 // that have served under its index.
 struct RoutedRequest {
-    Arrival info;
+    RequestInfo info;
     Stage stage = Stage::idle;
     std::uint32_t serial = 0;  // tells apart requests with the same index
     Instant arrived_at, goal_deadline, deadline;
@@ -105,7 +106,7 @@
     double prefill_tokens = 0, stream_tokens = 0, queued_tokens = 0;
     double prefix_share = 0;  // estimated share of requests with this request's shared prefix
     std::vector<ServerIndex> avoided_servers;
-    Ending last_ending = Ending::read;  // of the previous attempt
+    Ending last_ending = Ending::prefilled;  // of the previous attempt
     bool answer_lost = false;
     bool may_have_run = false;
     // Location of the server of the earliest attempt that may have run, or else of the newest attempt. The
@@ -127,7 +128,7 @@
 // exponential backoff.
 struct CategorySuspension {
     Instant until, since;
-    Span backoff;  // 0: the server answers the category
+    Duration backoff;  // 0: the server answers the category
 };
 
 // Shares of the fleet that a cell or a zone holds.
@@ -139,25 +140,25 @@
     std::uint16_t zone = 0;  // of a cell
 };
 
-class Rules {
+class Router {
   public:
-    Rules(const Terms& terms, Host& host, std::uint32_t seed);
+    Router(const Terms& terms, Host& host, std::uint32_t seed);
 
     // Categories, kinds and client groups may only have been added; requests in progress keep the category
     // that they arrived with.
     void terms_changed(const Terms& terms);
-    void list_arrived(std::span<const Listing> entries, bool whole);
-    void list_missed();
-    void query_arrived(QueryIndex request, const Arrival& info);
-    void query_left(QueryIndex request);
-    void stream_began(QueryIndex request, Span took);
-    void attempt_ended(QueryIndex request, ServerIndex server, const Outcome& outcome);
+    void list_arrived(std::span<const ServerListing> entries, bool is_snapshot);
+    void list_fetch_failed();
+    void request_arrived(RequestIndex request, const RequestInfo& info);
+    void client_left(RequestIndex request);
+    void stream_began(RequestIndex request, Duration duration);
+    void attempt_ended(RequestIndex request, ServerIndex server, const AttemptOutcome& outcome);
     // The lease of the request's state has ended: the state has been released, whichever attempt is in
     // flight.
-    void state_expired(QueryIndex request);
+    void lease_expired(RequestIndex request);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
-    void timer_rang(TimerKey key);
-    void peer_told(std::string_view text);
+    void timer_fired(TimerKey key);
+    void peer_note_received(std::string_view text);
     // Requests that wait for a server, for monitoring.
     struct Waiting {
         std::size_t requests = 0;
@@ -180,7 +181,7 @@
     void set_slow_start_credit(ServerIndex s, double credit);
     void change_unanswered(ServerIndex s, int by);
     bool is_available(ServerIndex s) const;
-    Span repeat_time_left(const RoutedRequest& q) const;
+    Duration repeat_time_left(const RoutedRequest& q) const;
     bool may_run_on(const RoutedRequest& q, ServerIndex s) const;
     bool has_free_memory(ServerIndex s) const;
     bool any_decode_room(const RoutedRequest& q);
@@ -219,7 +220,7 @@
     double decode_weight(ServerIndex s, ServerIndex prefill_server) const;
     double place_weight(ServerIndex s, ServerIndex prefill_server);
     std::size_t distance_class(ServerIndex from, ServerIndex to) const;
-    void note_hand_over(const RoutedRequest& q, Span took);
+    void note_hand_over(const RoutedRequest& q, Duration duration);
     double hand_over_time(std::size_t distance) const;
     void compute_fleet_shares();
     void add_servers_up_to(ServerIndex s);
@@ -230,31 +231,31 @@
     double update_failure_rate(ServerIndex s, double sample);
     void add_evidence(ServerIndex s, double log_odds);
     void eject(ServerIndex s, bool unreachable);
-    double current_pace(ServerIndex s, Span goal) const;
-    double role_pace(Span goal) const;
-    bool is_transfer_late(const RoutedRequest& q, ServerIndex s, Span prefill_time) const;
+    double current_pace(ServerIndex s, Duration goal) const;
+    double role_pace(Duration goal) const;
+    bool is_transfer_late(const RoutedRequest& q, ServerIndex s, Duration prefill_time) const;
     bool is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const;
     void note_report(ServerIndex s, const LoadReport& report);
     void remember_cached_prefix(const RoutedRequest& q, ServerIndex s);
 
-    void send(QueryIndex i, ServerIndex s, bool is_prefill);
+    void send(RequestIndex i, ServerIndex s, bool is_prefill);
     void uncount_attempt(RoutedRequest& q);
-    bool try_start(QueryIndex i);
-    void hand_over(QueryIndex i);
-    void release_state(QueryIndex i);
-    void wait_for_decode(QueryIndex i);
-    void requeue(QueryIndex i);
-    void retry_or_end(QueryIndex i);
-    void end_request(QueryIndex i, Span stay_away);
-    void finish(QueryIndex i);
-    void cancel_unanswered_hand_over(QueryIndex i);
+    bool try_start(RequestIndex i);
+    void hand_over(RequestIndex i);
+    void release_state(RequestIndex i);
+    void wait_for_decode(RequestIndex i);
+    void requeue(RequestIndex i);
+    void retry_or_end(RequestIndex i);
+    void end_request(RequestIndex i, Duration retry_after);
+    void finish(RequestIndex i);
+    void cancel_unanswered_hand_over(RequestIndex i);
     std::uint32_t attempt_limit(const RoutedRequest& q) const;
     Instant useful_until(const RoutedRequest& q) const;
     void serve_queues();
-    void serve_queue(std::deque<std::pair<QueryIndex, std::uint32_t>>& queue, Stage stage);
+    void serve_queue(std::deque<std::pair<RequestIndex, std::uint32_t>>& queue, Stage stage);
     bool is_overdue(const RoutedRequest& q) const;
     void serve_waiting_for_decode();
-    void schedule_sweep(Span after);
+    void schedule_sweep(Duration after);
     void check_for_silence();
     void schedule_silence_check();
     bool is_available_to(const RoutedRequest& q, ServerIndex s) const;
@@ -274,14 +275,14 @@
     std::minstd_rand random_;
 
     std::vector<RoutedRequest> requests_;
-    std::deque<std::pair<QueryIndex, std::uint32_t>> new_requests_, retries_, waiting_for_decode_;
+    std::deque<std::pair<RequestIndex, std::uint32_t>> new_requests_, retries_, waiting_for_decode_;
     Instant sweep_at_;
     bool silence_check_scheduled_ = false;
     GenerationalCache<CachedPrefix> session_prefixes_, shared_prefixes_;
 
     std::size_t server_count_ = 0;
     std::vector<Role> role_;
-    std::vector<Standing> status_;
+    std::vector<ServerStatus> status_;
     std::vector<std::uint16_t> zone_, kind_;
     bool has_prefill_servers_ = false;
     std::vector<std::uint32_t> cell_, incarnation_;
@@ -303,14 +304,14 @@
     std::vector<double> prefill_weights_;
     struct RolePace {
         Instant at;
-        Span goal;
+        Duration goal;
         std::uint64_t samples = 0;
         double pace = 0;
     };
     mutable RolePace role_pace_;     // cached result of role_pace()
     std::size_t server_checks_ = 0;  // servers examined for waiting requests since server_checks_since_
     Instant server_checks_since_;
-    std::vector<Host::Sight> traced_candidates_;
+    std::vector<Host::Candidate> traced_candidates_;
     std::vector<std::pair<double, ServerIndex>> scores_;
     std::unordered_map<std::uint64_t, std::pair<double, Instant>> shared_prefix_counts_;
     std::vector<LocationShare> cells_, zones_;
@@ -319,7 +320,7 @@
     std::vector<Instant> started_at_, full_at_, ejected_until_, slow_start_refilled_at_, last_heard_at_,
         reported_at_, pace_measured_at_, probed_at_, probe_answered_at_, sent_at_, connected_at_;
     Instant role_pace_measured_at_;
-    std::vector<Span> ejection_time_, probe_duration_;
+    std::vector<Duration> ejection_time_, probe_duration_;
     std::vector<double> memory_tokens_, own_queued_tokens_, own_stream_tokens_, reported_memory_,
         reported_queue_, queued_since_report_, streams_since_report_, queued_since_answer_,
         streams_since_answer_, outlier_score_, failure_rate_, pace_, slow_start_credit_;
--- a/src/core/rules_tuning.h
+++ b/src/core/rules_tuning.h
@@ -11,12 +11,12 @@
 
 namespace copperfront {
 
-inline constexpr Span kMs{1000};
+inline constexpr Duration kMs{1000};
 inline constexpr std::size_t kTracedCandidates = 8;  // of a choice, written to a trace
 inline constexpr double kInfinite = std::numeric_limits<double>::infinity();
 
 inline constexpr double kMaxMemoryShare = 0.9;
-inline constexpr Span kFullBackoff = kMs * 1000;
+inline constexpr Duration kFullBackoff = kMs * 1000;
 // Load, in typical prompts, by which a server with a cached prefix may exceed the least loaded one.
 inline constexpr double kAffinityMarginPrompts = 1.0;
 
@@ -37,7 +37,7 @@
 // number of connected decode servers on, a tie goes to one of them.
 inline constexpr double kConnectedIdleShare = 0.5;
 inline constexpr std::size_t kMinConnectedServers = 40;
-inline constexpr Span kFleetShareInterval = kMs * 1000;
+inline constexpr Duration kFleetShareInterval = kMs * 1000;
 
 // Outlier ejection. Evidence is added up as log odds. The constants are the least weights of a sample in
 // averages of one server, of a role and of all requests; how often a failing server fails, the least failure
@@ -46,7 +46,7 @@
 inline constexpr double kServerSampleWeight = 0.3, kRoleSampleWeight = 0.05, kRequestSampleWeight = 0.02;
 inline constexpr double kOutlierFailureRate = 0.6, kMinFailureRate = 0.02, kPaceSlack = 0.9,
                         kMaxSlownessEvidence = 2.3, kEjectionScore = 4.6;
-inline constexpr Span kFirstEjectionTime = kMs * 1000, kMaxEjectionTime = kMs * 8000;
+inline constexpr Duration kFirstEjectionTime = kMs * 1000, kMaxEjectionTime = kMs * 8000;
 // The largest share of a role that failures and slowness may eject.
 inline constexpr double kMaxEjectedShare = 0.5;
 inline constexpr std::uint64_t kMinPaceSamples = 8, kMinSilenceSamples = 20;
@@ -56,8 +56,8 @@
 // Silence of a server: far beyond the usual time to an answer, with a lower bound as a share of the latency
 // goal. Suspension of a category at a server: first and longest time.
 inline constexpr double kSilenceDeviations = 6.0, kSilencePaceFactor = 4.0, kSilenceGoalShare = 0.5;
-inline constexpr Span kSilenceCheckInterval = kMs * 20, kFirstSuspension = kMs * 4000,
-                      kMaxSuspension = kMs * 16000;
+inline constexpr Duration kSilenceCheckInterval = kMs * 20, kFirstSuspension = kMs * 4000,
+                          kMaxSuspension = kMs * 16000;
 
 // Slow start: the share of the full budget that is planned for, and the share of that which may be spent in a
 // burst.
@@ -80,7 +80,7 @@
 inline constexpr double kTokensPerNoteUnit = 100;          // stream tokens per unit of a note to peers
 
 // Bound on the servers examined for waiting requests: this many in each interval.
-inline constexpr Span kServerCheckInterval = kMs * 20;
+inline constexpr Duration kServerCheckInterval = kMs * 20;
 inline constexpr std::size_t kMaxServerChecks = 150000;
 
 inline constexpr TimerKey kSweepKey = 1, kListKey = 2, kSilenceCheckKey = 3, kRequestKeys = TimerKey{1} << 62;
@@ -96,7 +96,7 @@
     return std::max(1.0, expected + kQuotaBurstDeviations * std::sqrt(expected));
 }
 
-inline double seconds(Span s) { return s.ms() / 1000; }
+inline double seconds(Duration s) { return s.ms() / 1000; }
 
 // Whether the request has just found this server failing, or is to avoid it.
 inline bool is_avoided(const RoutedRequest& q, ServerIndex s) {
--- a/src/core/send_guard.cpp
+++ b/src/core/send_guard.cpp
@@ -11,15 +11,15 @@
 constexpr double kAnswerCompletionShare = 0.35;
 // Well above the travel time of a close between two zones, also where a busy machine relays it late. Once,
 // with twelve busy threads on eight cores, 30 ms passed between a cancellation and its record at the server.
-constexpr Span kCloseTravelTime{20000};
+constexpr Duration kCloseTravelTime{20000};
 // A server may send an answer twice, the second some milliseconds after the first. It can't be distinguished
 // from the answer to the next request on that connection, so no request is sent there for this long.
-constexpr Span kMinIdleBeforeReuse{20000};
+constexpr Duration kMinIdleBeforeReuse{20000};
 // By the protocol, new connections and requests on open ones keep arriving for this long after SIGTERM.
-constexpr Span kAcceptAfterShutdown{700000};
+constexpr Duration kAcceptAfterShutdown{700000};
 // Tolerances of the protocol: on held states, and on the deadline sent to a server.
-constexpr Span kReleaseSlack{300000};
-constexpr Span kDeadlineSlack{150000};
+constexpr Duration kReleaseSlack{300000};
+constexpr Duration kDeadlineSlack{150000};
 
 }  // namespace
 
@@ -82,12 +82,12 @@
 
 Denial SendGuard::may_start(const AttemptStart& facts) {
     if (facts.answered) return count(Denial::already_answered);
-    if (facts.attempt_out) return count(Denial::attempt_in_flight);
+    if (facts.attempt_in_flight) return count(Denial::attempt_in_flight);
     if (facts.effect == Effect::effectful && facts.may_have_run) {
         return count(Denial::effect_may_have_happened);
     }
-    if (facts.made > facts.most) return count(Denial::too_many_attempts);
-    if (facts.left.us <= 0) return count(Denial::no_time_left);
+    if (facts.attempts > facts.max_attempts) return count(Denial::too_many_attempts);
+    if (facts.time_left.us <= 0) return count(Denial::no_time_left);
     return Denial::none;
 }
 
@@ -99,15 +99,15 @@
     return Denial::none;
 }
 
-Span SendGuard::close_travel_time() { return kCloseTravelTime; }
+Duration SendGuard::close_travel_time() { return kCloseTravelTime; }
 
 Denial SendGuard::may_release(const HoldLedger& ledger, RequestKey request, Instant now) {
-    switch (ledger.need_of_release(request, now)) {
+    switch (ledger.release_need(request, now)) {
         case HoldLedger::Need::due:
             return Denial::none;
         case HoldLedger::Need::not_yet:
             return count(Denial::may_take_newer_state);
-        case HoldLedger::Need::close_sent:
+        case HoldLedger::Need::close_in_flight:
             return count(Denial::close_not_arrived);
         case HoldLedger::Need::nothing:
             break;
@@ -115,8 +115,8 @@
     return count(Denial::nothing_held);
 }
 
-Span SendGuard::answer_completion_time() const {
-    return is_sabotaged(Sabotage::incomplete_answer_waits) ? Span{}
+Duration SendGuard::answer_completion_time() const {
+    return is_sabotaged(Sabotage::incomplete_answer_waits) ? Duration{}
                                                            : release_within_ * kAnswerCompletionShare;
 }
 
@@ -128,16 +128,17 @@
 }
 
 Denial SendGuard::may_close(const ClientConnection& facts) {
-    return facts.request_open ? count(Denial::answer_pending) : Denial::none;
+    return facts.has_open_request ? count(Denial::answer_pending) : Denial::none;
 }
 
-Denial SendGuard::may_accept(bool shutting_down, Span since_asked) {
+Denial SendGuard::may_accept(bool shutting_down, Duration since_requested) {
     if (is_sabotaged(Sabotage::late_requests_taken)) return Denial::none;
-    return shutting_down && since_asked >= kAcceptAfterShutdown ? count(Denial::shutting_down) : Denial::none;
+    return shutting_down && since_requested >= kAcceptAfterShutdown ? count(Denial::shutting_down)
+                                                                    : Denial::none;
 }
 
 Denial SendGuard::may_stop_listening(const Shutdown& facts) {
-    return facts.since_asked < kAcceptAfterShutdown ? count(Denial::still_accepting) : Denial::none;
+    return facts.since_requested < kAcceptAfterShutdown ? count(Denial::still_accepting) : Denial::none;
 }
 
 Denial SendGuard::may_exit(const Shutdown& facts) {
@@ -154,19 +155,19 @@
 
 bool SendGuard::check_released(std::optional<Instant> held_since, Instant released) {
     if (!held_since || !is_release_late(*held_since, released)) return true;
-    violated(Invariant::state_released_in_time);
+    count_violation(Invariant::state_released_in_time);
     return false;
 }
 
-bool SendGuard::check_deadline(Span sent, Span remaining) {
+bool SendGuard::check_deadline(Duration sent, Duration remaining) {
     if (sent <= remaining + kDeadlineSlack) return true;
-    violated(Invariant::deadline_not_overstated);
+    count_violation(Invariant::deadline_not_overstated);
     return false;
 }
 
 bool SendGuard::check_effect(Effect effect, bool may_have_run) {
     if (effect != Effect::effectful || !may_have_run) return true;
-    violated(Invariant::effect_at_most_once);
+    count_violation(Invariant::effect_at_most_once);
     return false;
 }
 
