--- a/src/core/send_guard.h
+++ b/src/core/send_guard.h
@@ -52,18 +52,18 @@
 class SendGuard {
   public:
     // `release_within`: time limit for a held state to be taken or released; 0: no limit.
-    explicit SendGuard(Span release_within) : release_within_(release_within) {}
-    void change(Span release_within) { release_within_ = release_within; }
+    explicit SendGuard(Duration release_within) : release_within_(release_within) {}
+    void set_release_within(Duration release_within) { release_within_ = release_within; }
 
     // ---- attempts
 
     struct AttemptStart {
-        bool answered = false;     // with a final answer, or by a stream that has begun
-        bool attempt_out = false;  // another attempt of the same request
+        bool answered = false;           // with a final answer, or by a stream that has begun
+        bool attempt_in_flight = false;  // another attempt of the same request
         bool may_have_run = false;
         Effect effect = Effect::pure;
-        std::uint32_t made = 0, most = 0;  // attempts of the request, including this one
-        Span left;                         // until the request's deadline
+        std::uint32_t attempts = 0, max_attempts = 0;  // attempts of the request, including this one
+        Duration time_left;                            // until the request's deadline
     };
     Denial may_start(const AttemptStart& facts);
 
@@ -78,7 +78,7 @@
 
     // How long a cancelled attempt still counts as in flight: until its close has reached its server. An
     // attempt on another server before that would be a duplicate.
-    static Span close_travel_time();
+    static Duration close_travel_time();
 
     // ---- held states
 
@@ -90,41 +90,41 @@
 
     // Time limit for the rest of an answer that has begun and is not a stream; zero: none. By then the server
     // has done its work, and the state it may hold is held already.
-    Span answer_completion_time() const;
+    Duration answer_completion_time() const;
 
     // ---- connections and the process
 
     struct PooledConnection {
         bool nothing_received = false;  // neither bytes nor a close have arrived on it
-        Span idle_time;
+        Duration idle_time;
     };
     Denial may_reuse(const PooledConnection& facts);
 
     struct ClientConnection {
-        bool request_open = false;  // completely read, without a final answer
+        bool has_open_request = false;  // completely read, without a final answer
     };
     Denial may_close(const ClientConnection& facts);
 
     struct Shutdown {
-        Span since_asked;
+        Duration since_requested;
         bool listening = true;
         std::size_t requests = 0, attempts = 0, releases = 0, unsent_answers = 0;
     };
     // Whether a request that has been read is served; otherwise it is rejected, which promises that it had no
     // effect.
-    Denial may_accept(bool shutting_down, Span since_asked);
+    Denial may_accept(bool shutting_down, Duration since_requested);
     Denial may_stop_listening(const Shutdown& facts);
     Denial may_exit(const Shutdown& facts);
 
     // ---- counted at run time
 
-    void violated(Invariant invariant) { ++violations_[static_cast<std::size_t>(invariant)]; }
+    void count_violation(Invariant invariant) { ++violations_[static_cast<std::size_t>(invariant)]; }
     // Whether a state held since `held_since` should have been released by `now`.
     bool is_release_late(Instant held_since, Instant now) const;
     // Each of these checks one invariant and returns whether it holds. `held_since`: none if nothing was
     // held.
     bool check_released(std::optional<Instant> held_since, Instant released);
-    bool check_deadline(Span sent, Span remaining);
+    bool check_deadline(Duration sent, Duration remaining);
     bool check_effect(Effect effect, bool may_have_run);
 
     std::uint64_t denied(Denial reason) const { return denials_[static_cast<std::size_t>(reason)]; }
@@ -136,7 +136,7 @@
   private:
     Denial count(Denial denial);
 
-    Span release_within_;
+    Duration release_within_;
     std::array<std::uint64_t, kDenialCount> denials_{};
     std::array<std::uint64_t, kInvariantCount> violations_{};
 };
--- a/src/core/server_health.cpp
+++ b/src/core/server_health.cpp
@@ -11,13 +11,13 @@
 
 // An ejected server gets single attempts once its ejection time is over (half-open probe); a success readmits
 // it.
-bool Rules::is_available(ServerIndex s) const {
+bool Router::is_available(ServerIndex s) const {
     return may_receive(s) &&
            (ejection_time_[s].us == 0 || (now_ >= ejected_until_[s] && unanswered_attempts_[s] == 0));
 }
 
 // Whether the server is available and not known to leave the request's category unanswered.
-bool Rules::is_available_to(const RoutedRequest& q, ServerIndex s) const {
+bool Router::is_available_to(const RoutedRequest& q, ServerIndex s) const {
     return is_available(s) && now_ >= suspensions_[q.info.category][s].until;
 }
 
@@ -26,14 +26,14 @@
 // where they stand out, and a fleet that fails or is slow as a whole ejects no server. It handles servers
 // that answer fast with errors (and would attract all traffic, as they have the fewest queued tokens), fall
 // silent, or lose states or streams.
-void Rules::note_failure(ServerIndex s) {
+void Router::note_failure(ServerIndex s) {
     add_evidence(s, std::log(kOutlierFailureRate / update_failure_rate(s, 1.0)));
 }
 
 // Adds a sample, and returns the failure rate of the other servers of the role.
-double Rules::update_failure_rate(ServerIndex s, double sample) {
-    ExponentialAverage& rate = role_failure_rates_[role_[s] == Role::reader];
-    const double peers = std::max(1.0, role_sizes_[role_[s] == Role::reader]);
+double Router::update_failure_rate(ServerIndex s, double sample) {
+    ExponentialAverage& rate = role_failure_rates_[role_[s] == Role::prefill];
+    const double peers = std::max(1.0, role_sizes_[role_[s] == Role::prefill]);
     const double others = peers > 1 ? (rate.mean * peers - failure_rate_[s]) / (peers - 1) : rate.mean;
     add_sample(rate, sample, std::min(kServerSampleWeight, 1 / peers));
     failure_rate_[s] += kServerSampleWeight * (sample - failure_rate_[s]);
@@ -41,7 +41,7 @@
 }
 
 // Also ejects servers that run slow without failing. Each server is judged by one of the two paces.
-void Rules::note_success(ServerIndex s, double pace, bool is_prefill) {
+void Router::note_success(ServerIndex s, double pace, bool is_prefill) {
     const double log_odds = std::log((1 - kOutlierFailureRate) / (1 - update_failure_rate(s, 0.0)));
     if (is_prefill != does_prefill(s)) return add_evidence(s, log_odds);
     ExponentialAverage& peers = role_log_paces_[is_prefill];
@@ -55,24 +55,24 @@
     add_evidence(s, log_odds + std::clamp(slowness, -kPaceSlack, kMaxSlownessEvidence));
 }
 
-void Rules::add_evidence(ServerIndex s, double log_odds) {
+void Router::add_evidence(ServerIndex s, double log_odds) {
     outlier_score_[s] = std::max(0.0, outlier_score_[s] + log_odds);
     if (outlier_score_[s] >= kEjectionScore) return eject(s, false);
     if (ejection_time_[s].us == 0) return;
     ejection_time_[s] = {};
     availability_changed(s);
-    host_.shut(s, false);
+    host_.ejection_changed(s, false);
     host_.log("server " + std::to_string(s) + " is let in again");
 }
 
 // The score may eject at most half of the reachable servers of a role, or the rest would be overloaded.
 // Unreachable servers, for which one failed attempt is enough, count on neither side: an unreachable zone
 // must not keep a failing server in.
-void Rules::eject(ServerIndex s, bool unreachable) {
+void Router::eject(ServerIndex s, bool unreachable) {
     outlier_score_[s] = kEjectionScore;
     if (!unreachable && ejection_time_[s].us == 0) {
         double peers = 0, ejected = 0;
-        for (const ServerIndex other : role_[s] == Role::reader ? ready_prefill_ : ready_decode_) {
+        for (const ServerIndex other : role_[s] == Role::prefill ? ready_prefill_ : ready_decode_) {
             if (role_[other] != role_[s] || (ejection_time_[other].us > 0 && unreachable_[other])) continue;
             ++peers;
             ejected += ejection_time_[other].us > 0;
@@ -81,7 +81,7 @@
     }
     unreachable_[s] = unreachable;
     if (ejection_time_[s].us == 0) host_.log("server " + std::to_string(s) + " is shut out after failures");
-    host_.shut(s, true);
+    host_.ejection_changed(s, true);
     ejection_time_[s] =
         ejection_time_[s].us == 0 ? kFirstEjectionTime : std::min(kMaxEjectionTime, ejection_time_[s] * 2);
     ejected_until_[s] = now_ + ejection_time_[s];
@@ -91,19 +91,19 @@
 // A hand-over that may simply be repeated does not wait for a server from which nothing has been heard since
 // it was sent, for far longer than hand-overs usually take: without its state it can only be rejected. Where
 // hand-overs usually take long, the attempt would only move from one slow server to the next.
-void Rules::cancel_unanswered_hand_over(QueryIndex i) {
+void Router::cancel_unanswered_hand_over(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     const Category& c = terms_.categories[q.info.category];
     if (q.has_first_token || q.cancelled || last_heard_at_[q.server] > q.sent_at) return;
     if (c.effect != Effect::pure || !c.stream) return;
-    const Span limit = kMs * (first_token_time_.mean + kSilenceDeviations * first_token_time_.deviation);
+    const Duration limit = kMs * (first_token_time_.mean + kSilenceDeviations * first_token_time_.deviation);
     if (first_token_time_.samples < kMinPaceSamples || now_ - q.sent_at < limit) return;
     q.cancelled = true;
     note_failure(q.server);
-    host_.retract(i, q.attempts - 1);
+    host_.cancel_attempt(i, q.attempts - 1);
 }
 
-void Rules::schedule_silence_check() {
+void Router::schedule_silence_check() {
     if (!terms_.cancel || std::exchange(silence_check_scheduled_, true)) return;
     host_.set_timer(std::max(kSilenceCheckInterval, terms_.quantum), kSilenceCheckKey);
 }
@@ -113,10 +113,10 @@
 // answered: an overloaded server goes on answering others in their turn. A server that answers others may
 // leave this category alone unanswered. Requests that may run only once stay where they are, and the next
 // ones avoid the server.
-void Rules::check_for_silence() {
+void Router::check_for_silence() {
     silence_check_scheduled_ = false;
     bool any_in_flight = false;
-    for (QueryIndex i = 0; i < requests_.size(); ++i) {
+    for (RequestIndex i = 0; i < requests_.size(); ++i) {
         RoutedRequest& q = requests_[i];
         const bool is_prefill = q.stage == Stage::prefilling;
         if (!q.in_flight || q.cancelled || (!is_prefill && q.stage != Stage::decoding)) continue;
@@ -144,7 +144,8 @@
             continue;
         q.cancelled = true;
         is_responsive ? suspend_category(q.info.category, s, true) : note_failure(s);
-        if (q.at_prefill_server || (c.effect == Effect::pure && c.stream)) host_.retract(i, q.attempts - 1);
+        if (q.at_prefill_server || (c.effect == Effect::pure && c.stream))
+            host_.cancel_attempt(i, q.attempts - 1);
     }
     if (any_in_flight) schedule_silence_check();
 }
@@ -152,7 +153,7 @@
 // Suspends a category at a server, for a time that doubles with each failure (circuit breaker with
 // exponential backoff). Gateways notify each other if the terms allow it, as a request that may run only once
 // is lost with each test. A note may be lost; nothing depends on it.
-void Rules::suspend_category(std::uint16_t category, ServerIndex s, bool observed_here) {
+void Router::suspend_category(std::uint16_t category, ServerIndex s, bool observed_here) {
     CategorySuspension& suspension = suspensions_[category][s];
     if (observed_here || suspension.backoff.us == 0)
         suspension.backoff =
@@ -165,7 +166,7 @@
 
 // Some attempts are answered even so, so one answer is not enough. Answers to attempts sent before say
 // nothing.
-void Rules::note_category_answered(const RoutedRequest& q, ServerIndex s) {
+void Router::note_category_answered(const RoutedRequest& q, ServerIndex s) {
     CategorySuspension& suspension = suspensions_[q.info.category][s];
     if (suspension.backoff.us == 0 || q.sent_at < suspension.since) return;
     suspension.backoff = suspension.backoff * 0.25;
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -8,14 +8,14 @@
 
 namespace copperfront {
 
-bool Rules::is_cold(ServerIndex s) const {
-    return started_at_[s].us > 0 && now_ - started_at_[s] < terms_.warm_within;
+bool Router::is_cold(ServerIndex s) const {
+    return started_at_[s].us > 0 && now_ - started_at_[s] < terms_.warm_up_time;
 }
 
-// Refills the budgets of cold servers (token buckets). All gateways together must stay below tip_multiple x
-// start_capacity x fall. Each keeps to the share that its own traffic to warm servers of the role implies; if
-// all do, the sum is the fleet's share.
-void Rules::refill_slow_start() {
+// Refills the budgets of cold servers (token buckets). All gateways together must stay below
+// overload_multiple x start_capacity x fall. Each keeps to the share that its own traffic to warm servers of
+// the role implies; if all do, the sum is the fleet's share.
+void Router::refill_slow_start() {
     // Nothing is gained by refilling again within the clock's resolution.
     if (now_ - counts_decayed_at_ < terms_.quantum) return;
     const double fade = std::exp(-seconds(now_ - counts_decayed_at_) / kRateWindowS);
@@ -35,13 +35,14 @@
         warm_prefill -= does_prefill(s);
         warm_decode -= does_decode(s);
     }
-    const double capacity_factor = terms_.tip_multiple * terms_.start_capacity * kSlowStartShare;
+    const double capacity_factor = terms_.overload_multiple * terms_.start_capacity * kSlowStartShare;
     for (const ServerIndex s : cold_servers_) {
-        const double completed = role_[s] == Role::reader ? recent_prefills_ : recent_decodes_;
-        const double peers = role_[s] == Role::reader ? warm_prefill : warm_decode;
+        const double completed = role_[s] == Role::prefill ? recent_prefills_ : recent_decodes_;
+        const double peers = role_[s] == Role::prefill ? warm_prefill : warm_decode;
         const double rate = peers > 0 ? completed / kRateWindowS / peers : 0;
         const double allowed = rate * capacity_factor;
-        const double max_credit = std::max(1.0, allowed * seconds(terms_.fall) * kSlowStartBurstShare);
+        const double max_credit =
+            std::max(1.0, allowed * seconds(terms_.overload_window) * kSlowStartBurstShare);
         const double gained =
             allowed * (1 - kSlowStartBurstShare) * seconds(now_ - slow_start_refilled_at_[s]);
         set_slow_start_credit(s, std::min(max_credit, slow_start_credit_[s] + gained));
@@ -49,13 +50,13 @@
     }
 }
 
-void Rules::set_slow_start_credit(ServerIndex s, double credit) {
+void Router::set_slow_start_credit(ServerIndex s, double credit) {
     const bool could_receive = slow_start_credit_[s] >= 1;
     slow_start_credit_[s] = credit;
     if (could_receive != (credit >= 1)) availability_changed(s);
 }
 
-bool Rules::may_receive(ServerIndex s) const {
+bool Router::may_receive(ServerIndex s) const {
     return is_ready(s) && (!is_cold(s) || slow_start_credit_[s] >= 1);
 }
 
--- a/src/core/terms.cpp
+++ b/src/core/terms.cpp
@@ -4,23 +4,23 @@
 
 const char* text_of(Ending ending) {
     switch (ending) {
-        case Ending::settled:
+        case Ending::completed:
             return "completed";
         case Ending::error:
             return "error";
-        case Ending::full:
+        case Ending::refused:
             return "turned away";
-        case Ending::late:
+        case Ending::timed_out:
             return "timed out";
         case Ending::unreachable:
             return "could not connect";
-        case Ending::broken:
+        case Ending::connection_lost:
             return "reset";
-        case Ending::retracted:
+        case Ending::cancelled:
             return "called off";
         case Ending::unsent:
             return "not sent";
-        case Ending::read:
+        case Ending::prefilled:
             return "prefilled";
     }
     return "";
--- a/src/core/units.h
+++ b/src/core/units.h
@@ -7,9 +7,9 @@
 
 namespace copperfront {
 
-struct Span {
+struct Duration {
     std::int64_t us = 0;
-    auto operator<=>(const Span&) const = default;
+    auto operator<=>(const Duration&) const = default;
     double ms() const { return static_cast<double>(us) / 1000.0; }
 };
 
@@ -18,14 +18,16 @@
     auto operator<=>(const Instant&) const = default;
 };
 
-constexpr Span operator+(Span a, Span b) { return {a.us + b.us}; }
-constexpr Span operator-(Span a, Span b) { return {a.us - b.us}; }
-constexpr Span operator*(Span a, double factor) {
+constexpr Duration operator+(Duration a, Duration b) { return {a.us + b.us}; }
+constexpr Duration operator-(Duration a, Duration b) { return {a.us - b.us}; }
+constexpr Duration operator*(Duration a, double factor) {
     return {static_cast<std::int64_t>(static_cast<double>(a.us) * factor)};
 }
-constexpr double operator/(Span a, Span b) { return static_cast<double>(a.us) / static_cast<double>(b.us); }
-constexpr Instant operator+(Instant a, Span b) { return {a.us + b.us}; }
-constexpr Instant operator-(Instant a, Span b) { return {a.us - b.us}; }
-constexpr Span operator-(Instant a, Instant b) { return {a.us - b.us}; }
+constexpr double operator/(Duration a, Duration b) {
+    return static_cast<double>(a.us) / static_cast<double>(b.us);
+}
+constexpr Instant operator+(Instant a, Duration b) { return {a.us + b.us}; }
+constexpr Instant operator-(Instant a, Duration b) { return {a.us - b.us}; }
+constexpr Duration operator-(Instant a, Instant b) { return {a.us - b.us}; }
 
 }  // namespace copperfront
--- a/src/day/callers.cpp
+++ b/src/day/callers.cpp
@@ -13,36 +13,36 @@
 #include "record/recorder.h"
 #include "rpc/wire.h"
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 namespace {
 
 using rpc::Json;
 
-constexpr LinkBounds kLineLimits{4 << 20, 16 << 20};
-constexpr Span kTickInterval{5000};  // resolution at which the arrivals drawn in advance are sent
+constexpr LineLimits kLineLimits{4 << 20, 16 << 20};
+constexpr Duration kTickInterval{5000};  // resolution at which the arrivals drawn in advance are sent
 constexpr std::size_t kMaxOpenSessions = 500;
 
 // An arrival of a request of one traffic entry.
 struct Arrival {
-    Span at;
+    Duration at;
     std::size_t traffic = 0;
 };
 
 class Clients;
 
 // A connection to one gateway. It is opened at its first use, and opened again after it has closed.
-class Connection : public Link::Owner {
+class Connection : public LineConnection::Owner {
   public:
     Connection(Clients& clients, std::size_t gateway, std::string name)
         : clients_(clients), gateway_(gateway), name_(std::move(name)) {}
-    void link_made(Link&) override;
-    void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing why, const std::string& what) override;
+    void connection_opened(LineConnection&) override;
+    void line_received(LineConnection&, std::string_view line) override;
+    void connection_closed(LineConnection&, CloseReason why, const std::string& what) override;
 
     Clients& clients_;
     const std::size_t gateway_;
     const std::string name_;
-    std::unique_ptr<Link> link_;
+    std::unique_ptr<LineConnection> link_;
     bool is_open_ = false, stopping_ = false;
     std::int64_t next_id_ = 1;
     std::map<std::int64_t, std::size_t> open_requests_;  // request ids to indices of attempts
@@ -53,7 +53,7 @@
 struct ClientAttempt {
     std::size_t traffic = 0, number = 0;
     std::string request_name;
-    rpc::Ask ask;
+    rpc::GenerateRequest request;
     std::int64_t sent_at = 0, leave_at = 0;
     std::uint64_t tokens = 0;
     bool has_tokens = false, is_over = false, is_corrupt = false, has_left = false;
@@ -63,19 +63,19 @@
 };
 
 // A client that breaks the protocol or does not read what it is sent.
-class MisbehavingClient : public Link::Owner {
+class MisbehavingClient : public LineConnection::Owner {
   public:
     MisbehavingClient(Clients& clients, std::string kind, std::string name)
         : clients_(clients), kind_(std::move(kind)), name_(std::move(name)) {}
     void start();
-    void link_made(Link&) override;
-    void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing, const std::string& what) override;
+    void connection_opened(LineConnection&) override;
+    void line_received(LineConnection&, std::string_view line) override;
+    void connection_closed(LineConnection&, CloseReason, const std::string& what) override;
 
   private:
     Clients& clients_;
     const std::string kind_, name_;
-    std::unique_ptr<Link> link_;
+    std::unique_ptr<LineConnection> link_;
     std::size_t received_lines_ = 0;
 };
 
@@ -87,7 +87,7 @@
           terms_(terms),
           options_(options),
           record_(options.record),
-          random_(scenario.seed + static_cast<std::uint32_t>(mark(options.zone) & 0xffff)),
+          random_(scenario.seed + static_cast<std::uint32_t>(hash_of(options.zone) & 0xffff)),
           tick_timer_(loop_, [this] { run_due(); }),
           down_since_(options.gateways.size(), 0) {
         draw_arrivals();
@@ -113,7 +113,7 @@
     const std::string& gateway_address(std::size_t g) const { return options_.gateways[g].second; }
 
     void note_unreachable(std::size_t gateway) {
-        if (down_since_[gateway] == 0) down_since_[gateway] = machine_clock_us();
+        if (down_since_[gateway] == 0) down_since_[gateway] = monotonic_clock_us();
     }
     void note_reachable(std::size_t gateway) { down_since_[gateway] = 0; }
 
@@ -121,12 +121,12 @@
         ClientAttempt& t = attempts_[index];
         t.connection = &c;
         t.id = c.next_id_++;
-        t.sent_at = machine_clock_us();
+        t.sent_at = monotonic_clock_us();
         const TrafficPlan& plan = scenario_.traffic[t.traffic];
         t.leave_at = INT64_MAX;
         if (uniform() < plan.leave_share)
-            t.leave_at =
-                t.sent_at + static_cast<std::int64_t>(uniform() * static_cast<double>(t.ask.budget.us));
+            t.leave_at = t.sent_at +
+                         static_cast<std::int64_t>(uniform() * static_cast<double>(t.request.time_budget.us));
         c.open_requests_[t.id] = index;
         record_.note("ask", {{"c", c.name_},
                              {"id", std::to_string(t.id)},
@@ -134,9 +134,9 @@
                              {"cat", plan.category},
                              {"mark", t.request_name},
                              {"try", t.number},
-                             {"prompt", t.ask.prompt_tokens},
-                             {"budget_ms", t.ask.budget.ms()}});
-        c.link_->send(rpc::ask_line(rpc::Id{t.id}, t.ask));
+                             {"prompt", t.request.prompt_tokens},
+                             {"budget_ms", t.request.time_budget.ms()}});
+        c.link_->send(rpc::generate_request_line(rpc::Id{t.id}, t.request));
         if (t.leave_at != INT64_MAX) departures_by_time_.emplace(t.leave_at, index);
     }
 
@@ -144,18 +144,18 @@
         return {{"c", c.name_}, {"id", std::to_string(id)}};
     }
 
-    void line_came(Connection& c, std::string_view line) {
+    void line_received(Connection& c, std::string_view line) {
         auto parsed = rpc::parse(line);
         const auto* m = std::get_if<rpc::Message>(&parsed);
         if (!m) {
             record_.note("bad", {{"c", c.name_}, {"line", std::string(line.substr(0, 200))}});
             return;
         }
-        if (m->sort == rpc::Sort::notice) {
+        if (m->kind == rpc::MessageKind::notification) {
             if (m->method != rpc::kTokens) return;
             const auto id = m->body.find("requestId");
             if (id == m->body.end() || !id->is_number_integer()) return;
-            token_received(c, id->get<std::int64_t>(), rpc::text_at(m->body, "text"));
+            token_received(c, id->get<std::int64_t>(), rpc::string_or(m->body, "text"));
             return;
         }
         if (!std::holds_alternative<std::int64_t>(m->id)) return;
@@ -171,27 +171,27 @@
         }
         ClientAttempt& t = attempts_[it->second];
         const std::size_t index = it->second;
-        const char* result = m->sort == rpc::Sort::result ? "settled"
-                             : m->code == rpc::kDeclined  ? "declined"
-                             : m->code == rpc::kGivenUp   ? "given up"
-                             : m->code == rpc::kNotTaken  ? "not taken"
-                                                          : "error";
+        const char* result = m->kind == rpc::MessageKind::result ? "settled"
+                             : m->code == rpc::kRejected         ? "declined"
+                             : m->code == rpc::kAbandoned        ? "given up"
+                             : m->code == rpc::kNotAccepted      ? "not taken"
+                                                                 : "error";
         Json noted = request_record(c, id);
         noted["end"] = result;
         noted["tokens"] = t.tokens;
-        if (m->sort == rpc::Sort::result &&
-            terms_.core.categories[*terms_.categories.find(t.ask.category)].stream &&
-            rpc::number_at(m->body, "tokens") != static_cast<double>(t.tokens))
+        if (m->kind == rpc::MessageKind::result &&
+            terms_.core.categories[*terms_.categories.find(t.request.category)].stream &&
+            rpc::number_or(m->body, "tokens") != static_cast<double>(t.tokens))
             t.is_corrupt = true;
         if (t.is_corrupt) noted["torn"] = true;
-        if (m->sort == rpc::Sort::error) noted["text"] = m->text + " " + m->body.dump();
+        if (m->kind == rpc::MessageKind::error) noted["text"] = m->text + " " + m->body.dump();
         record_.note("final", std::move(noted));
         c.open_requests_.erase(it);
         t.is_over = true;
-        if (m->sort == rpc::Sort::result) return drop_prompt(index);
-        if (m->code == rpc::kNotTaken) c.stopping_ = true;
-        repeat_if_allowed(index, m->code == rpc::kDeclined, m->code == rpc::kNotTaken, t.has_tokens,
-                          rpc::number_at(m->body, "stayAwayMs"));
+        if (m->kind == rpc::MessageKind::result) return drop_prompt(index);
+        if (m->code == rpc::kNotAccepted) c.stopping_ = true;
+        repeat_if_allowed(index, m->code == rpc::kRejected, m->code == rpc::kNotAccepted, t.has_tokens,
+                          rpc::number_or(m->body, "stayAwayMs"));
     }
 
     void token_received(Connection& c, std::int64_t id, const std::string& text) {
@@ -212,7 +212,7 @@
         ++t.tokens;
     }
 
-    void link_closed(Connection& c, bool made) {
+    void connection_closed(Connection& c, bool made) {
         const auto open = std::move(c.open_requests_);
         c.open_requests_.clear();
         const auto waiting = std::move(c.waiting_attempts_);
@@ -244,7 +244,7 @@
             double at = 0;
             const double end = static_cast<double>(scenario_.length.us) / 1e6;
             while ((at += -std::log(1 - uniform()) / rate) < end) {
-                const Span time{static_cast<std::int64_t>(at * 1e6)};
+                const Duration time{static_cast<std::int64_t>(at * 1e6)};
                 double factor = 1;
                 for (const FaultPlan& t : scenario_.fault_plans)
                     if (t.kind == "burst" && time >= t.at && time < t.at + t.duration)
@@ -257,7 +257,7 @@
     }
 
     void run_due() {
-        const Span now{machine_clock_us() - options_.begins_at};
+        const Duration now{monotonic_clock_us() - options_.begins_at};
         while (next_arrival_ < arrivals_.size() && arrivals_[next_arrival_].at <= now)
             create_request(arrivals_[next_arrival_++].traffic);
         for (auto it = repeats_by_time_.begin(); it != repeats_by_time_.end() && it->first <= now.us;) {
@@ -272,7 +272,7 @@
         }
         for (auto& [at, client] : misbehaving_clients_) {
             if (at > now) continue;
-            at = Span{INT64_MAX};
+            at = Duration{INT64_MAX};
             client->start();
         }
         if (now >= scenario_.length + scenario_.tail) return loop_.stop();
@@ -295,7 +295,7 @@
             if (at == sessions.size()) sessions.emplace_back();
             sessions[at] = {
                 "s-" + t.request_name,
-                std::max(plan.beginning_tokens + 1, plan.mean_prompt_tokens * (0.4 + 1.2 * uniform())),
+                std::max(plan.shared_prefix_tokens + 1, plan.mean_prompt_tokens * (0.4 + 1.2 * uniform())),
                 plan.shared_prefixes == 0 ? std::string()
                                           : plan.name + "-b" +
                                                 std::to_string(static_cast<std::size_t>(
@@ -303,19 +303,21 @@
         }
         Session& session = sessions[at];
         if (continues_session) session.tokens += 0.2 * plan.mean_prompt_tokens;
-        t.ask.category = plan.category;
-        t.ask.client_group = plan.client_group;
-        t.ask.session = session.name;
-        t.ask.beginning = session.beginning;
-        t.ask.beginning_tokens = session.beginning.empty() ? 0 : std::floor(plan.beginning_tokens);
-        t.ask.prompt_tokens = std::floor(session.tokens);
-        t.ask.prompt = "[{\"type\":\"text\",\"tokens\":" +
-                       std::to_string(static_cast<std::int64_t>(t.ask.prompt_tokens)) +
-                       ",\"text\":\"How many points do I have, and when do they expire?\"}]";
-        t.ask.most_tokens = plan.most_tokens;
-        t.ask.mark = t.request_name;
-        t.ask.budget = plan.time_budget * (plan.min_wait_share + (1 - plan.min_wait_share) * uniform());
-        if (plan.sends_duration_hint) t.ask.hint = Span{20000} * plan.most_tokens;
+        t.request.category = plan.category;
+        t.request.client_group = plan.client_group;
+        t.request.session = session.name;
+        t.request.shared_prefix = session.shared_prefix;
+        t.request.shared_prefix_tokens =
+            session.shared_prefix.empty() ? 0 : std::floor(plan.shared_prefix_tokens);
+        t.request.prompt_tokens = std::floor(session.tokens);
+        t.request.prompt = "[{\"type\":\"text\",\"tokens\":" +
+                           std::to_string(static_cast<std::int64_t>(t.request.prompt_tokens)) +
+                           ",\"text\":\"How many points do I have, and when do they expire?\"}]";
+        t.request.max_output_tokens = plan.max_output_tokens;
+        t.request.idempotency_key = t.request_name;
+        t.request.time_budget =
+            plan.time_budget * (plan.min_wait_share + (1 - plan.min_wait_share) * uniform());
+        if (plan.sends_duration_hint) t.request.duration_hint = Duration{20000} * plan.max_output_tokens;
         attempts_.push_back(std::move(t));
         submit(attempts_.size() - 1);
     }
@@ -329,7 +331,7 @@
             if (std::find(t.unreached.begin(), t.unreached.end(), g) != t.unreached.end()) continue;
             untried.push_back(g);
             if (down_since_[g] == 0 ||
-                machine_clock_us() - down_since_[g] < scenario_.down_detection_delay.us)
+                monotonic_clock_us() - down_since_[g] < scenario_.down_detection_delay.us)
                 available.push_back(g);
         }
         if (available.empty()) available = untried;
@@ -354,7 +356,7 @@
         c.waiting_attempts_.push_back(index);
         if (!c.link_) {
             c.is_open_ = c.stopping_ = false;
-            c.link_ = Link::dial(loop_, Address::parse(gateway_address(g)), kLineLimits, c);
+            c.link_ = LineConnection::dial(loop_, Address::parse(gateway_address(g)), kLineLimits, c);
         }
     }
 
@@ -367,8 +369,8 @@
         const TrafficPlan& plan = scenario_.traffic[old.traffic];
         const Category& c = terms_.core.categories[*terms_.categories.find(plan.category)];
         const bool may_repeat = c.effect == Effect::pure || declined || not_reached ||
-                                (c.effect == Effect::receipted && c.group == Group::all && old.sent_at > 0 &&
-                                 machine_clock_us() - old.sent_at < c.window.us / 2);
+                                (c.effect == Effect::receipted && c.group == DedupScope::all &&
+                                 old.sent_at > 0 && monotonic_clock_us() - old.sent_at < c.window.us / 2);
         // An attempt that only moves on to another gateway does not count as a repeat.
         const bool is_free =
             not_reached && old.number <= plan.max_repeats && old.unreached.size() < down_since_.size();
@@ -378,13 +380,13 @@
         t.traffic = old.traffic;
         t.number = is_free ? old.number : old.number + 1;
         t.request_name = old.request_name;
-        t.ask = old.ask;
+        t.request = old.request;
         if (not_reached) t.unreached = old.unreached;
-        if (!is_free) t.ask.again = true;
+        if (!is_free) t.request.is_repeat = true;
         attempts_.push_back(std::move(t));
         const double wait = is_free ? 0 : std::max(plan.repeat_delay.ms(), retry_after_ms * 0.5);
         repeats_by_time_.emplace(
-            machine_clock_us() - options_.begins_at + static_cast<std::int64_t>(wait * 1000),
+            monotonic_clock_us() - options_.begins_at + static_cast<std::int64_t>(wait * 1000),
             attempts_.size() - 1);
     }
 
@@ -400,12 +402,12 @@
         drop_prompt(index);
     }
 
-    void drop_prompt(std::size_t index) { attempts_[index].ask.prompt.clear(); }
+    void drop_prompt(std::size_t index) { attempts_[index].request.prompt.clear(); }
 
     struct Session {
         std::string name;
         double tokens = 0;
-        std::string beginning;
+        std::string shared_prefix;
     };
 
     const Scenario& scenario_;
@@ -424,10 +426,10 @@
     std::map<std::pair<Connection*, std::int64_t>, bool> left_requests_;
     std::map<std::size_t, std::vector<Session>> sessions_;
     std::vector<std::vector<std::unique_ptr<Connection>>> connections_by_gateway_;
-    std::vector<std::pair<Span, std::unique_ptr<MisbehavingClient>>> misbehaving_clients_;
+    std::vector<std::pair<Duration, std::unique_ptr<MisbehavingClient>>> misbehaving_clients_;
 };
 
-void Connection::link_made(Link& link) {
+void Connection::connection_opened(LineConnection& link) {
     is_open_ = true;
     clients_.note_reachable(gateway_);
     link.send(rpc::hello_line(rpc::Id{std::int64_t{0}}, {"caller-" + name_, "", ""}));
@@ -436,30 +438,33 @@
     for (const std::size_t index : waiting) clients_.send(index, *this);
 }
 
-void Connection::line_came(Link&, std::string_view line) { clients_.line_came(*this, line); }
+void Connection::line_received(LineConnection&, std::string_view line) {
+    clients_.line_received(*this, line);
+}
 
-void Connection::link_closed(Link&, Closing why, const std::string&) {
-    Link::hand_off(clients_.loop(), std::move(link_), false);
-    clients_.link_closed(*this, why != Closing::not_made);
+void Connection::connection_closed(LineConnection&, CloseReason why, const std::string&) {
+    LineConnection::detach_and_close(clients_.loop(), std::move(link_), false);
+    clients_.connection_closed(*this, why != CloseReason::connect_failed);
 }
 
 void MisbehavingClient::start() {
     const std::size_t g =
         static_cast<std::size_t>(clients_.uniform() * static_cast<double>(clients_.options_.gateways.size()));
     clients_.record_.note("misfit", {{"c", name_}, {"kind", kind_}, {"gw", clients_.gateway_name(g)}});
-    link_ = Link::dial(clients_.loop_, Address::parse(clients_.gateway_address(g)), kLineLimits, *this);
+    link_ =
+        LineConnection::dial(clients_.loop_, Address::parse(clients_.gateway_address(g)), kLineLimits, *this);
 }
 
-void MisbehavingClient::link_made(Link& link) {
-    rpc::Ask ask;
-    ask.category = clients_.scenario_.traffic.front().category;
-    ask.prompt = "[{\"type\":\"text\",\"tokens\":100,\"text\":\"x\"}]";
-    ask.prompt_tokens = 100;
-    ask.most_tokens = 200;
-    ask.budget = Span{5000000};
+void MisbehavingClient::connection_opened(LineConnection& link) {
+    rpc::GenerateRequest request;
+    request.category = clients_.scenario_.traffic.front().category;
+    request.prompt = "[{\"type\":\"text\",\"tokens\":100,\"text\":\"x\"}]";
+    request.prompt_tokens = 100;
+    request.max_output_tokens = 200;
+    request.time_budget = Duration{5000000};
     if (kind_ == "never-reads") {
         link.pause_reading(true);
-        for (std::int64_t id = 1; id <= 20; ++id) link.send(rpc::ask_line(rpc::Id{id}, ask));
+        for (std::int64_t id = 1; id <= 20; ++id) link.send(rpc::generate_request_line(rpc::Id{id}, request));
     } else if (kind_ == "garbage") {
         for (int n = 0; n < 30; ++n) link.send("\x01\xff{]garbage " + std::to_string(n));
     } else if (kind_ == "half-lines") {
@@ -468,21 +473,21 @@
     } else if (kind_ == "long-line") {
         link.send(std::string(3 << 20, 'x'));
     } else if (kind_ == "same-id") {
-        for (int n = 0; n < 4; ++n) link.send(rpc::ask_line(rpc::Id{std::int64_t{1}}, ask));
+        for (int n = 0; n < 4; ++n) link.send(rpc::generate_request_line(rpc::Id{std::int64_t{1}}, request));
         link.send("{\"jsonrpc\":\"2.0\",\"id\":[1],\"method\":\"generate\"}");
         link.send("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"no-such-method\"}");
         link.send("{\"jsonrpc\":\"2.0\",\"id\":3,\"result\":{}}");
     }
 }
 
-void MisbehavingClient::line_came(Link&, std::string_view line) {
+void MisbehavingClient::line_received(LineConnection&, std::string_view line) {
     if (++received_lines_ <= 50)
         clients_.record_.note("misfit told", {{"c", name_}, {"line", std::string(line.substr(0, 160))}});
 }
 
-void MisbehavingClient::link_closed(Link&, Closing, const std::string& what) {
+void MisbehavingClient::connection_closed(LineConnection&, CloseReason, const std::string& what) {
     clients_.record_.note("misfit closed", {{"c", name_}, {"what", what}, {"lines", received_lines_}});
-    Link::hand_off(clients_.loop_, std::move(link_), false);
+    LineConnection::detach_and_close(clients_.loop_, std::move(link_), false);
 }
 
 }  // namespace
@@ -493,4 +498,4 @@
     clients.run();
 }
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/callers.h
+++ b/src/day/callers.h
@@ -9,7 +9,7 @@
 
 #include "day/script.h"
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 
 struct ClientOptions {
     std::string zone, record;
@@ -21,4 +21,4 @@
 // Runs the clients of the zone until the scenario ends. Throws std::runtime_error if it cannot run.
 void run_clients(const Scenario& scenario, const GatewayTerms& terms, const ClientOptions& options);
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/process.cpp
+++ b/src/day/process.cpp
@@ -14,10 +14,10 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 
-struct Processes::Process {
-    Start options;
+struct ChildProcesses::Process {
+    ProcessOptions options;
     pid_t pid = -1;
     bufferevent* out = nullptr;
     ~Process() {
@@ -28,23 +28,23 @@
         while (char* line = evbuffer_readln(in, nullptr, EVBUFFER_EOL_LF)) {
             const std::string text(line);
             free(line);
-            if (options.said) options.said(text);
+            if (options.on_output_line) options.on_output_line(text);
         }
     }
 };
 
-Processes::Processes(Loop& loop) : loop_(loop) {
+ChildProcesses::ChildProcesses(Loop& loop) : loop_(loop) {
     loop_.on_signal(SIGCHLD, [this] { reap(); });
 }
 
-Processes::~Processes() {
+ChildProcesses::~ChildProcesses() {
     for (const auto& [name, process] : by_name_) {
         ::kill(process->pid, SIGKILL);
         ::waitpid(process->pid, nullptr, 0);
     }
 }
 
-void Processes::start(Start options) {
+void ChildProcesses::start(ProcessOptions options) {
     int pipe[2];
     if (::pipe2(pipe, O_CLOEXEC) != 0) throw std::runtime_error(std::string("pipe: ") + std::strerror(errno));
     std::vector<char*> argv;
@@ -71,8 +71,8 @@
         sigemptyset(&none);
         ::sigprocmask(SIG_SETMASK, &none, nullptr);
         ::dup2(pipe[1], 1);
-        if (!options.errors.empty()) {
-            const int fd = ::open(options.errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+        if (!options.stderr_file.empty()) {
+            const int fd = ::open(options.stderr_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
             if (fd >= 0) ::dup2(fd, 2);
         }
         // A socket that a child inherits would stay open when this process closes it.
@@ -94,17 +94,17 @@
     by_name_[name] = std::move(process);
 }
 
-bool Processes::signal(const std::string& name, int number) {
+bool ChildProcesses::signal(const std::string& name, int number) {
     const auto it = by_name_.find(name);
     return it != by_name_.end() && ::kill(it->second->pid, number) == 0;
 }
 
-pid_t Processes::id_of(const std::string& name) const {
+pid_t ChildProcesses::pid_of(const std::string& name) const {
     const auto it = by_name_.find(name);
     return it != by_name_.end() ? it->second->pid : -1;
 }
 
-void Processes::reap() {
+void ChildProcesses::reap() {
     for (auto it = by_name_.begin(); it != by_name_.end();) {
         int status = 0;
         if (::waitpid(it->second->pid, &status, WNOHANG) != it->second->pid) {
@@ -115,9 +115,9 @@
         it = by_name_.erase(it);
         // Deferred: the callback may start the process again, which changes the map.
         loop_.post([ended, status] {
-            if (ended->options.ended) ended->options.ended(status);
+            if (ended->options.on_exit) ended->options.on_exit(status);
         });
     }
 }
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/process.h
+++ b/src/day/process.h
@@ -13,29 +13,30 @@
 
 struct bufferevent;
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 
 // The running child processes by name.
-class Processes {
+class ChildProcesses {
   public:
-    explicit Processes(Loop& loop);
-    ~Processes();  // kills the processes that still run
+    explicit ChildProcesses(Loop& loop);
+    ~ChildProcesses();  // kills the processes that still run
 
-    struct Start {
+    struct ProcessOptions {
         std::string name, program;
         std::vector<std::string> args;
-        std::vector<std::string> environment;               // NAME=VALUE, added to this process's own
-        std::string errors;                                 // file that receives its standard error
-        std::function<void(const std::string& line)> said;  // called with each line of its standard output
-        std::function<void(int status)> ended;  // called with the status of waitpid; may start it again
+        std::vector<std::string> environment;  // NAME=VALUE, added to this process's own
+        std::string stderr_file;               // file that receives its standard error
+        std::function<void(const std::string& line)>
+            on_output_line;                       // called with each line of its standard output
+        std::function<void(int status)> on_exit;  // called with the status of waitpid; may start it again
     };
     // Throws std::runtime_error if the process cannot be started.
-    void start(Start options);
-    bool runs(const std::string& name) const { return by_name_.count(name) != 0; }
+    void start(ProcessOptions options);
+    bool is_running(const std::string& name) const { return by_name_.count(name) != 0; }
     // Sends the signal; returns false if there is no such process.
     bool signal(const std::string& name, int number);
     // Returns the process id, or -1 if there is no such process.
-    pid_t id_of(const std::string& name) const;
+    pid_t pid_of(const std::string& name) const;
     std::size_t count() const { return by_name_.size(); }
 
   private:
@@ -45,4 +46,4 @@
     std::map<std::string, std::unique_ptr<Process>> by_name_;
 };
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/runner.cpp
+++ b/src/day/runner.cpp
@@ -18,49 +18,49 @@
 #include "record/recorder.h"
 #include "rpc/wire.h"
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 namespace {
 
 using rpc::Json;
 
-constexpr LinkBounds kLineLimits{4 << 20, 16 << 20};
-constexpr Span kStartTimeout{20000000};  // until all processes are ready
-constexpr Span kSettleTime{500000};      // from the last ready process to the first request
-constexpr Span kStopTimeout{40000000};
-constexpr Span kProgressInterval{5000000};
-constexpr Span kReloadInterval{150000};
+constexpr LineLimits kLineLimits{4 << 20, 16 << 20};
+constexpr Duration kStartTimeout{20000000};  // until all processes are ready
+constexpr Duration kSettleTime{500000};      // from the last ready process to the first request
+constexpr Duration kStopTimeout{40000000};
+constexpr Duration kProgressInterval{5000000};
+constexpr Duration kReloadInterval{150000};
 
 // A control connection to one fake server or the fake roster. Commands wait until it is open.
-class ControlConnection : public Link::Owner {
+class ControlConnection : public LineConnection::Owner {
   public:
     ControlConnection(Loop& loop, const std::string& address) : loop_(loop) {
-        link_ = Link::dial(loop, Address::parse(address), kLineLimits, *this);
+        link_ = LineConnection::dial(loop, Address::parse(address), kLineLimits, *this);
     }
-    ~ControlConnection() override { Link::hand_off(loop_, std::move(link_), true); }
+    ~ControlConnection() override { LineConnection::detach_and_close(loop_, std::move(link_), true); }
     void send_request(std::string_view method, const Json& params) {
-        const std::string line = rpc::call(rpc::Id{++id_}, method, params);
+        const std::string line = rpc::request_line(rpc::Id{++id_}, method, params);
         if (is_open_)
             link_->send(line);
         else
             waiting_commands_.push_back(line);
     }
-    void link_made(Link& link) override {
+    void connection_opened(LineConnection& link) override {
         is_open_ = true;
         for (const std::string& line : waiting_commands_) link.send(line);
         waiting_commands_.clear();
     }
-    void line_came(Link&, std::string_view line) override {
+    void line_received(LineConnection&, std::string_view line) override {
         auto parsed = rpc::parse(line);
         const auto* m = std::get_if<rpc::Message>(&parsed);
-        if (m && m->sort == rpc::Sort::error)
+        if (m && m->kind == rpc::MessageKind::error)
             std::fprintf(stderr, "copperfront: a fake server returned an error: %s\n", m->text.c_str());
     }
-    void link_closed(Link&, Closing, const std::string&) override { closed_ = true; }
+    void connection_closed(LineConnection&, CloseReason, const std::string&) override { closed_ = true; }
     bool closed() const { return closed_; }
 
   private:
     Loop& loop_;
-    std::unique_ptr<Link> link_;
+    std::unique_ptr<LineConnection> link_;
     std::vector<std::string> waiting_commands_;
     std::int64_t id_ = 0;
     bool is_open_ = false, closed_ = false;
@@ -93,7 +93,7 @@
         loop_.run();
         if (!failure_.empty()) throw std::runtime_error(failure_);
         audit::Report report = audit::check(audit::read_history(options_.folder));
-        audit::add_decisions(report, path_of("traces"));
+        audit::add_explanations(report, path_of("traces"));
         return report;
     }
 
@@ -128,9 +128,9 @@
                 {"effect", k.effect == Effect::pure        ? "pure"
                            : k.effect == Effect::receipted ? "receipted"
                                                            : "effectful"},
-                {"group", k.group == Group::all    ? "all"
-                          : k.group == Group::zone ? "zone"
-                                                   : "cell"},
+                {"group", k.group == DedupScope::all    ? "all"
+                          : k.group == DedupScope::zone ? "zone"
+                                                        : "cell"},
                 {"window_ms", k.window.ms()},
                 {"latency_goal_ms", k.latency_goal.ms()},
                 {"goal_per_thousand_ms", k.goal_per_thousand.ms()},
@@ -138,8 +138,8 @@
         }
         record_.note("terms", {{"answer_slack_ms", terms_.answer_slack.ms()},
                                {"drain_grace_ms", terms_.drain_grace.ms()},
-                               {"fall_ms", terms_.core.fall.ms()},
-                               {"tip_multiple", terms_.core.tip_multiple},
+                               {"fall_ms", terms_.core.overload_window.ms()},
+                               {"tip_multiple", terms_.core.overload_multiple},
                                {"release_within_ms", terms_.core.release_within.ms()},
                                {"categories", categories},
                                {"day", scenario_.name},
@@ -154,12 +154,12 @@
 
     void start(const std::string& name, const std::string& program, std::vector<std::string> args,
                std::function<void(int)> ended, std::function<void()> ready) {
-        Processes::Start options;
+        ChildProcesses::ProcessOptions options;
         options.name = name;
         options.program = program;
         options.args = std::move(args);
-        options.errors = path_of(name + ".log");
-        options.said = [this, name, ready](const std::string& line) {
+        options.stderr_file = path_of(name + ".log");
+        options.on_output_line = [this, name, ready](const std::string& line) {
             ProcessState& state = process_states_[name];
             if (line.rfind("born ", 0) == 0) state.born_ms = std::atoll(line.c_str() + 5);
             if (line.rfind("ready ", 0) != 0) return;
@@ -168,7 +168,7 @@
             record_.note("ready", {{"name", name}, {"address", state.address}});
             ready();
         };
-        options.ended = [this, name, ended](int status) {
+        options.on_exit = [this, name, ended](int status) {
             process_states_[name].ready = false;
             record_.note("ended", {{"name", name},
                                    {"status", WIFEXITED(status) ? WEXITSTATUS(status) : -1},
@@ -209,7 +209,7 @@
                                          path_of(e.name + ".rec"),
                                          "--seed",
                                          std::to_string(scenario_.seed + e.name.size() * 7919 +
-                                                        static_cast<std::uint32_t>(mark(e.name) & 0xffff)),
+                                                        static_cast<std::uint32_t>(hash_of(e.name) & 0xffff)),
                                          "--reports",
                                          e.load_reports,
                                          "--slots",
@@ -233,9 +233,9 @@
                                          "--warm-ms",
                                          number(scenario_.warm_up_time.ms()),
                                          "--tip-multiple",
-                                         number(terms_.core.tip_multiple),
+                                         number(terms_.core.overload_multiple),
                                          "--fall-ms",
-                                         number(terms_.core.fall.ms())};
+                                         number(terms_.core.overload_window.ms())};
         if (cold) args.push_back("--cold");
         if (const std::string& known = process_states_[e.name].address; !known.empty()) {
             args.push_back("--listen");
@@ -246,25 +246,25 @@
             [this, plan = &e] { server_ready(*plan); });
     }
 
-    rpc::RosterEntry entry(const ServerPlan& e, Standing standing) {
+    rpc::RosterEntry entry(const ServerPlan& e, ServerStatus status) {
         const ProcessState& state = process_states_[e.name];
-        return {state.address, e.name, e.kind, e.zone, e.cell, state.born_ms, standing};
+        return {state.address, e.name, e.kind, e.zone, e.cell, state.born_ms, status};
     }
 
     void update_roster(const std::vector<rpc::RosterEntry>& entries) {
-        Json update = rpc::news_json({1, false, entries});
+        Json update = rpc::roster_update_json({1, false, entries});
         roster_->send_request("roster/set", {{"servers", update["servers"]}});
     }
 
     void server_ready(const ServerPlan& e) {
         if (running_) {
-            update_roster({entry(e, Standing::ready)});
+            update_roster({entry(e, ServerStatus::ready)});
             return;
         }
         std::vector<rpc::RosterEntry> all;
         for (const ServerPlan& plan : scenario_.servers) {
             if (!process_states_[plan.name].ready) return;
-            all.push_back(entry(plan, Standing::ready));
+            all.push_back(entry(plan, ServerStatus::ready));
         }
         if (gateways_started_) return;
         gateways_started_ = true;
@@ -278,7 +278,7 @@
         const ServerPlan& plan = server_plan(name);
         // The roster lists the server as removed, as a real registry does once it notices that the process
         // has ended.
-        update_roster({entry(plan, Standing::gone)});
+        update_roster({entry(plan, ServerStatus::removed)});
         if (!expected_exits_.count(name))
             print_progress(name + " has exited unexpectedly (it may have been overloaded)");
     }
@@ -303,7 +303,7 @@
             "--trace",
             path_of("traces"),
             "--seed",
-            std::to_string(scenario_.seed + 1000 + mark(g.name) % 1000 + start_counts_[g.name]++)};
+            std::to_string(scenario_.seed + 1000 + hash_of(g.name) % 1000 + start_counts_[g.name]++)};
         if (const std::string& known = process_states_[g.name].address; !known.empty()) {
             args.push_back("--listen");
             args.push_back(known);
@@ -319,7 +319,7 @@
         if (running_) return;
         for (const GatewayPlan& g : scenario_.gateways)
             if (!process_states_[g.name].ready) return;
-        watchdog_.off();
+        watchdog_.cancel();
         running_ = true;
         start_clients();
     }
@@ -338,7 +338,7 @@
     }
 
     void start_clients() {
-        begins_at_ = machine_clock_us() + kSettleTime.us;
+        begins_at_ = monotonic_clock_us() + kSettleTime.us;
         std::set<std::string> zones;
         for (const TrafficPlan& t : scenario_.traffic) zones.insert(t.zone);
         for (const std::string& zone : zones) {
@@ -366,7 +366,7 @@
     }
 
     void show_progress() {
-        const double at = static_cast<double>(machine_clock_us() - begins_at_) / 1e6;
+        const double at = static_cast<double>(monotonic_clock_us() - begins_at_) / 1e6;
         char line[120];
         std::snprintf(line, sizeof line, "%3.0f of %.0f s, %zu processes", at,
                       (scenario_.length + scenario_.tail).ms() / 1000, processes_.count());
@@ -376,16 +376,16 @@
 
     // ---- faults
 
-    void schedule(Span time, std::function<void()> action) {
+    void schedule(Duration time, std::function<void()> action) {
         auto timer = std::make_unique<Timer>(loop_, [this, action] {
             if (!stopping_) action();
         });
-        timer->set(Span{begins_at_ + time.us - machine_clock_us()});
+        timer->set(Duration{begins_at_ + time.us - monotonic_clock_us()});
         timers_.push_back(std::move(timer));
     }
 
     void send_fault(const std::string& name, const Json& fault) {
-        if (!processes_.runs(name) || !process_states_[name].ready) return;
+        if (!processes_.is_running(name) || !process_states_[name].ready) return;
         auto& control = controls_[name];
         if (!control || control->closed())
             control = std::make_unique<ControlConnection>(loop_, process_states_[name].address);
@@ -403,7 +403,7 @@
             print_progress("trouble " + t.name + ": " + t.kind);
             record_.note("trouble", {{"name", t.name}, {"what", t.kind}});
         });
-        const Span end = t.at + t.duration;
+        const Duration end = t.at + t.duration;
         const auto begin_and_end = [&](const Json& begin, const Json& over) {
             for (const std::string& name : t.targets) {
                 schedule(t.at, [this, name, begin] { send_fault(name, begin); });
@@ -414,7 +414,7 @@
             for (const std::string& name : t.targets) {
                 schedule(t.at, [this, name] { kill(name); });
                 schedule(end, [this, name] {
-                    if (!processes_.runs(name)) start_server(server_plan(name), true);
+                    if (!processes_.is_running(name)) start_server(server_plan(name), true);
                 });
             }
         } else if (t.kind == "slow") {
@@ -427,7 +427,7 @@
                 });
                 schedule(end, [this, name] { kill(name); });
                 schedule(end + t.duration * 0.5, [this, name] {
-                    if (!processes_.runs(name)) start_server(server_plan(name), true);
+                    if (!processes_.is_running(name)) start_server(server_plan(name), true);
                 });
             }
         } else if (t.kind == "errors") {
@@ -448,14 +448,14 @@
             // is over, and it comes back as a new process.
             for (const std::string& name : t.targets) {
                 schedule(t.at,
-                         [this, name] { update_roster({entry(server_plan(name), Standing::draining)}); });
+                         [this, name] { update_roster({entry(server_plan(name), ServerStatus::draining)}); });
                 schedule(end, [this, name] {
                     expected_exits_.insert(name);
                     record_.note("asked to stop", {{"name", name}});
                     processes_.signal(name, SIGTERM);
                 });
-                schedule(end + Span{2000000}, [this, name] {
-                    if (!processes_.runs(name)) start_server(server_plan(name), true);
+                schedule(end + Duration{2000000}, [this, name] {
+                    if (!processes_.is_running(name)) start_server(server_plan(name), true);
                 });
             }
         } else if (t.kind == "cut") {
@@ -485,7 +485,7 @@
             }
         } else if (t.kind == "reload") {
             // Alternates valid terms with terms that have one invalid entry at their end.
-            for (Span time = t.at; time < end; time = time + kReloadInterval) {
+            for (Duration time = t.at; time < end; time = time + kReloadInterval) {
                 schedule(time, [this, t] {
                     // While a gateway starts, only valid terms are written: it would rightly refuse to start
                     // with invalid ones, which is not what this fault tests.
@@ -500,7 +500,7 @@
             schedule(end, [this] { write_terms(""); });
         } else if (t.kind == "roll-gateways") {
             // One gateway after another is asked to stop, and started again once it has stopped.
-            Span time = t.at;
+            Duration time = t.at;
             for (const std::string& name : t.targets) {
                 schedule(time, [this, name] {
                     expected_exits_.insert(name);
@@ -516,17 +516,18 @@
     // Writes the gateways' own copy of the terms, which can change while they run.
     void write_terms(const std::string& addition) {
         std::string text;
-        std::vector<Fault> faults;
-        read_file(scenario_.terms_file, std::size_t{64} << 20, text, faults);
+        std::vector<Diagnostic> diagnostics;
+        read_file(scenario_.terms_file, std::size_t{64} << 20, text, diagnostics);
         const std::string temporary = path_of("gateways.terms.new");
         std::ofstream(temporary) << text.substr(0, text.rfind(')')) << addition << ")\n";
         std::filesystem::rename(temporary, path_of("gateways.terms"));
     }
 
     void restart_gateway(const std::string& name) {
-        if (processes_.runs(name)) {
+        if (processes_.is_running(name)) {
             // It still finishes its last requests.
-            schedule(Span{machine_clock_us() - begins_at_ + 100000}, [this, name] { restart_gateway(name); });
+            schedule(Duration{monotonic_clock_us() - begins_at_ + 100000},
+                     [this, name] { restart_gateway(name); });
             return;
         }
         expected_exits_.erase(name);
@@ -551,7 +552,7 @@
     void continue_shutdown() {
         if (!stopping_) return;
         for (const GatewayPlan& g : scenario_.gateways)
-            if (processes_.runs(g.name)) return;
+            if (processes_.is_running(g.name)) return;
         if (!servers_stopped_) {
             servers_stopped_ = true;
             for (const ServerPlan& e : scenario_.servers) {
@@ -570,7 +571,7 @@
     const Scenario& scenario_;
     const GatewayTerms& terms_;
     Loop loop_;
-    Processes processes_;
+    ChildProcesses processes_;
     Recorder record_;
     Timer watchdog_, progress_;
     std::map<std::string, ProcessState> process_states_;
@@ -590,9 +591,9 @@
 audit::Report run_scenario(const RunOptions& options) {
     Scenario scenario;
     GatewayTerms terms;
-    std::vector<Fault> faults;
-    if (!read_scenario_file(options.script, scenario, terms, faults))
-        throw std::invalid_argument(text_of(options.script, faults));
+    std::vector<Diagnostic> diagnostics;
+    if (!read_scenario_file(options.script, scenario, terms, diagnostics))
+        throw std::invalid_argument(format_diagnostics(options.script, diagnostics));
     std::error_code error;
     std::filesystem::create_directories(options.folder, error);
     if (error) throw std::runtime_error("folder " + options.folder + " cannot be made: " + error.message());
@@ -602,4 +603,4 @@
     return runner.run();
 }
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/runner.h
+++ b/src/day/runner.h
@@ -8,7 +8,7 @@
 #include "audit/audit.h"
 #include "day/script.h"
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 
 struct RunOptions {
     std::string script;                     // path
@@ -23,4 +23,4 @@
 // or the folder is not empty.
 audit::Report run_scenario(const RunOptions& options);
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/day/script.h
+++ b/src/day/script.h
@@ -9,7 +9,7 @@
 #include "sexpr/schema.h"
 #include "terms/terms_file.h"
 
-namespace copperfront::day {
+namespace copperfront::scenario {
 
 // A gateway process.
 struct GatewayPlan {
@@ -30,10 +30,10 @@
     std::string name, zone, category, client_group;
     double requests_per_s = 0;
     std::size_t connections = 0, shared_prefixes = 0, max_repeats = 0;
-    double mean_prompt_tokens = 0, beginning_tokens = 0, most_tokens = 0, mean_session_requests = 0;
+    double mean_prompt_tokens = 0, shared_prefix_tokens = 0, max_output_tokens = 0, mean_session_requests = 0;
     // Shares: of clients that leave early, and of its time budget that a client waits at least.
     double leave_share = 0, min_wait_share = 1;
-    Span time_budget, repeat_delay;
+    Duration time_budget, repeat_delay;
     bool sends_duration_hint = false;
 };
 
@@ -41,13 +41,13 @@
 struct MisbehavingClientPlan {
     std::string name, zone, kind;
     std::size_t count = 0;
-    Span at;
+    Duration at;
 };
 
 // A fault, its time and its targets.
 struct FaultPlan {
     std::string name, kind, zone;
-    Span at, duration;
+    Duration at, duration;
     std::vector<std::string> targets;
     double size = 0;
 };
@@ -55,17 +55,17 @@
 // The whole scenario.
 struct Scenario {
     std::string name, terms_file;  // path of the terms file; the script states it relative to its own folder
-    Span length, tail;
+    Duration length, tail;
     std::uint32_t seed = 1;
     // For down_detection_delay, clients still use a gateway that is down.
-    Span roster_min_delay, roster_max_delay, down_detection_delay;
+    Duration roster_min_delay, roster_max_delay, down_detection_delay;
     std::vector<GatewayPlan> gateways;
     std::vector<ServerPlan> servers;
     std::vector<TrafficPlan> traffic;
     std::vector<MisbehavingClientPlan> misbehaving_clients;
     std::vector<FaultPlan> fault_plans;
     double cold_speed_share = 0.3;  // of its full speed, at which a server starts
-    Span warm_up_time;
+    Duration warm_up_time;
 };
 
 // Returns the schema of scenario scripts.
@@ -74,6 +74,6 @@
 // Reads the script and its terms file, and checks them against each other. `terms` receives the terms of the
 // first gateway.
 bool read_scenario_file(const std::string& path, Scenario& scenario, GatewayTerms& terms,
-                        std::vector<Fault>& faults);
+                        std::vector<Diagnostic>& diagnostics);
 
-}  // namespace copperfront::day
+}  // namespace copperfront::scenario
--- a/src/desk/desk.cpp
+++ b/src/desk/desk.cpp
@@ -7,7 +7,7 @@
 
 namespace copperfront {
 
-Desk::Desk(const Terms& terms, Outside& host, std::uint32_t seed)
+Dispatcher::Dispatcher(const Terms& terms, DispatcherHost& host, std::uint32_t seed)
     : kinds_(terms.kinds),
       categories_(terms.categories),
       max_attempts_(terms.max_attempts),
@@ -16,64 +16,64 @@
       fleet_share_(terms.gateways),
       guard_(terms.release_within),
       ledger_(terms.release_within),
-      rules_(terms, *this, seed) {
+      router_(terms, *this, seed) {
     admission_.change({{RouteLimits{}}}, terms.gateways, host.now());
 }
 
-void Desk::limits_changed(std::span<const RouteLimits> routes, int gateways) {
+void Dispatcher::limits_changed(std::span<const RouteLimits> routes, int gateways) {
     admission_.change(routes, gateways, host_.now());
 }
 
-void Desk::terms_changed(const Terms& terms, std::span<const RouteLimits> routes) {
+void Dispatcher::terms_changed(const Terms& terms, std::span<const RouteLimits> routes) {
     const EventScope scope(*this);
     kinds_ = terms.kinds;
     categories_ = terms.categories;
     max_attempts_ = terms.max_attempts;
     shadow_evaluation_.reset();  // its categories and client groups may no longer match the new terms
     fleet_share_.change(terms.gateways);
-    guard_.change(terms.release_within);
-    ledger_.change(terms.release_within);
+    guard_.set_release_within(terms.release_within);
+    ledger_.set_release_within(terms.release_within);
     admission_.change(routes, terms.gateways, host_.now());
-    rules_.terms_changed(terms);
+    router_.terms_changed(terms);
 }
 
 // ---- this gateway's share of the fleet's limits
 
-void Desk::parts_are_learned(bool learned) {
+void Dispatcher::set_share_is_learned(bool learned) {
     share_is_learned_ = learned;
-    if (!learned) admission_.part_is(0);
+    if (!learned) admission_.set_share(0);
 }
 
-void Desk::watch(const Terms* terms, std::uint32_t seed) {
+void Dispatcher::evaluate_shadow_terms(const Terms* terms, std::uint32_t seed) {
     const EventScope scope(*this);
     shadow_evaluation_.reset();
     if (!terms) return;
-    shadow_evaluation_ = std::make_unique<Watching>(
+    shadow_evaluation_ = std::make_unique<ShadowEvaluation>(
         *terms,
-        Watching::Hooks{[this] { return host_.now(); },
-                        [this](Span from_now, TimerKey key) {
-                            schedule_timer(from_now, TimerKind::shadow_evaluation, key);
-                        }},
+        ShadowEvaluation::Hooks{[this] { return host_.now(); },
+                                [this](Duration from_now, TimerKey key) {
+                                    schedule_timer(from_now, TimerKind::shadow_evaluation, key);
+                                }},
         seed);
 }
 
-double Desk::part() const { return fleet_share_.value(host_.now()); }
+double Dispatcher::share() const { return fleet_share_.value(host_.now()); }
 
-void Desk::record_load_report(ServerIndex server, const LoadReport& report) {
+void Dispatcher::record_load_report(ServerIndex server, const LoadReport& report) {
     if (!share_is_learned_ || report.memory_share < 0 || server >= server_memory_.size() ||
         server_memory_[server] <= 0)
         return;
     fleet_share_.report(own_tokens_[server], report.memory_share * server_memory_[server], host_.now());
-    admission_.part_is(part());
+    admission_.set_share(share());
 }
 
 // ---- requests
 
-QueryIndex Desk::open(RequestKey key) {
+RequestIndex Dispatcher::open(RequestKey key) {
     recycle_indexes();
-    QueryIndex request = 0;
+    RequestIndex request = 0;
     if (free_indexes_.empty()) {
-        request = static_cast<QueryIndex>(requests_.size());
+        request = static_cast<RequestIndex>(requests_.size());
         requests_.emplace_back();
     } else {
         request = free_indexes_.back();
@@ -85,84 +85,86 @@
     return request;
 }
 
-void Desk::query_came(QueryIndex request, Arrival arrival, RouteIndex route, const RouteLimits& limits,
-                      bool is_repeat) {
+void Dispatcher::request_arrived(RequestIndex request, RequestInfo info, RouteIndex route,
+                                 const RouteLimits& limits, bool is_repeat) {
     const EventScope scope(*this);
     TrackedRequest& tracked = requests_[request];
-    const Category& category = categories_[arrival.category];
+    const Category& category = categories_[info.category];
     ++open_count_;
-    ++counters_.came;
+    ++counters_.received;
     const AdmissionDecision decision =
-        admission_.query_came(route, arrival.prompt_tokens, is_repeat, host_.now());
-    if (decision.why != Refusal::none) {
+        admission_.request_arrived(route, info.prompt_tokens, is_repeat, host_.now());
+    if (decision.why != RejectReason::none) {
         tracked.ended = true;
         ended_requests_.push_back(request);
         --open_count_;
-        ++counters_.declined;
+        ++counters_.rejected;
         ++counters_.over_limit;
-        tracked.summary.came = tracked.arrived_at = host_.now();
-        if (observer_) observer_->ended(request, Fate::over_limit, text_of(decision.why), tracked.summary);
-        host_.declined(request, decision.retry_after, text_of(decision.why));
+        tracked.summary.arrived_at = tracked.arrived_at = host_.now();
+        if (observer_)
+            observer_->ended(request, RequestOutcome::over_limit, text_of(decision.why), tracked.summary);
+        host_.rejected(request, decision.retry_after, text_of(decision.why));
         return;
     }
     tracked.route = route;
-    tracked.prompt_tokens = arrival.prompt_tokens;
-    tracked.arrived_at = tracked.summary.came = host_.now();
+    tracked.prompt_tokens = info.prompt_tokens;
+    tracked.arrived_at = tracked.summary.arrived_at = host_.now();
     tracked.streams = category.stream;
     tracked.effect = category.effect;
     // An explicit token gap applies as it stands: the time a client waits for a first token says nothing
     // about how long a healthy stream may pause.
-    tracked.max_silence = limits.gap.us > 0 ? limits.gap : max_stream_silence(category, arrival.budget);
+    tracked.max_silence =
+        limits.token_gap.us > 0 ? limits.token_gap : max_stream_silence(category, info.time_budget);
     tracked.connect_limit = limits.connect;
-    for (int cause = 0; cause < kRetryCauses; ++cause) tracked.max_retries[cause] = limits.most_after[cause];
-    arrival.read_within = limits.read;
-    arrival.hand_over_within = limits.hand_over;
-    arrival.first_token_within = limits.first_token;
-    if (limits.most_attempts < kAnyNumber) arrival.most_attempts = limits.most_attempts;
-    if (limits.whole.us > 0) {
-        arrival.budget = std::min(arrival.budget, limits.whole);
-        schedule_timer(limits.whole, TimerKind::total_limit, request);
-        tracked.total_limit = limits.whole;
+    for (int cause = 0; cause < kRetryCauses; ++cause) tracked.max_retries[cause] = limits.max_after[cause];
+    info.prefill_timeout = limits.prefill;
+    info.hand_over_timeout = limits.hand_over;
+    info.first_token_timeout = limits.first_token;
+    if (limits.max_attempts < kNoAttemptLimit) info.max_attempts = limits.max_attempts;
+    if (limits.total.us > 0) {
+        info.time_budget = std::min(info.time_budget, limits.total);
+        schedule_timer(limits.total, TimerKind::total_limit, request);
+        tracked.total_limit = limits.total;
     }
-    tracked.deadline = tracked.arrived_at + arrival.budget;
+    tracked.deadline = tracked.arrived_at + info.time_budget;
     tracked.queued = true;
-    admission_.held(route, 1);
-    if (const Span hedge_delay = admission_.hedge_after(route);
-        hedge_delay.us > 0 && limits.second_copies && category.effect == Effect::pure && category.stream) {
-        tracked.arrival = arrival;
+    admission_.queued(route, 1);
+    if (const Duration hedge_delay = admission_.hedge_after(route);
+        hedge_delay.us > 0 && limits.hedging && category.effect == Effect::pure && category.stream) {
+        tracked.info = info;
         tracked.hedge_after = hedge_delay;
         schedule_timer(hedge_delay, TimerKind::hedge, request);
     }
-    if (shadow_evaluation_) shadow_evaluation_->query_came(request, arrival);
-    rules_.query_arrived(request, arrival);
+    if (shadow_evaluation_) shadow_evaluation_->request_arrived(request, info);
+    router_.request_arrived(request, info);
 }
 
-void Desk::query_left(QueryIndex request) {
+void Dispatcher::client_left(RequestIndex request) {
     const EventScope scope(*this);
     TrackedRequest& tracked = requests_[request];
     if (!tracked.in_use || tracked.ended) return;
-    ++counters_.left;
-    end_request(request, Fate::left, "");
+    ++counters_.client_left;
+    end_request(request, RequestOutcome::client_left, "");
     // The router never cancels a stream that has begun; the dispatcher does, because nobody reads it any
     // more.
     if (const auto it = attempts_.find(tracked.streaming_attempt);
         it != attempts_.end() && !it->second.cancelled) {
-        Outcome outcome;
-        outcome.ending = Ending::retracted;
+        AttemptOutcome outcome;
+        outcome.ending = Ending::cancelled;
         cancel_then_finish(it->first, outcome, "its client has left");
     }
-    const QueryIndex partner = active_partner(request);
-    if (!requests_[request].routing_done) rules_.query_left(request);
+    const RequestIndex partner = active_partner(request);
+    if (!requests_[request].routing_done) router_.client_left(request);
     if (partner != kNoRequest) {
         mark_routing_done(partner);
-        rules_.query_left(partner);
+        router_.client_left(partner);
     }
 }
 
 // ---- hedges
 
-QueryIndex Desk::active_partner(QueryIndex request) const {
-    const QueryIndex partner = requests_[request].partner;
+RequestIndex Dispatcher::active_partner(RequestIndex request) const {
+    const RequestIndex partner = requests_[request].partner;
     // The index may have been reused for another request since.
     if (partner == kNoRequest || !requests_[partner].in_use || requests_[partner].routing_done ||
         requests_[partner].partner != request)
@@ -172,7 +174,7 @@
 }
 
 // Marks that the router has finished with this request. The index of a hedge becomes free for reuse.
-void Desk::mark_routing_done(QueryIndex request) {
+void Dispatcher::mark_routing_done(RequestIndex request) {
     TrackedRequest& tracked = requests_[request];
     tracked.routing_done = true;
     if (!tracked.is_hedge || tracked.ended) return;
@@ -182,7 +184,7 @@
 
 // Guards against a second final answer: while one of the two hedged requests ends or its client leaves, the
 // router may also end the other.
-bool Desk::is_answered(QueryIndex request) {
+bool Dispatcher::is_answered(RequestIndex request) {
     const TrackedRequest& tracked = requests_[request];
     if (!tracked.in_use || tracked.ended || tracked.routing_done) return true;
     if (!requests_[original_of(request)].ended) return false;
@@ -191,23 +193,23 @@
 }
 
 // Returns true, and drops this request, where the router ended it while its partner may still be answered.
-bool Desk::yields_to_partner(QueryIndex request) {
+bool Dispatcher::yields_to_partner(RequestIndex request) {
     if (active_partner(request) == kNoRequest) return false;
     mark_routing_done(request);
     return true;
 }
 
 // Cancels the attempts of the slower partner and releases its states, as if its client had left.
-void Desk::cancel_partner(QueryIndex winner) {
-    const QueryIndex loser = active_partner(winner);
+void Dispatcher::cancel_partner(RequestIndex winner) {
+    const RequestIndex loser = active_partner(winner);
     if (loser == kNoRequest) return;
     if (requests_[winner].is_hedge) ++counters_.hedges_won;
     mark_routing_done(loser);
-    rules_.query_left(loser);
+    router_.client_left(loser);
 }
 
 // The router chooses the servers of a hedge as for any request, except that it first avoids the slow server.
-void Desk::start_hedge(QueryIndex request) {
+void Dispatcher::start_hedge(RequestIndex request) {
     const TrackedRequest& tracked = requests_[request];
     const bool is_useful = tracked.in_use && !tracked.ended && !tracked.routing_done && !tracked.is_hedge &&
                            tracked.partner == kNoRequest && tracked.streaming_attempt == 0 &&
@@ -215,12 +217,12 @@
                            host_.now() - tracked.arrived_at >= tracked.hedge_after;
     if (!is_useful) return;
     const auto slow = attempts_.find(tracked.attempts.back());
-    const Span left = tracked.arrived_at + tracked.arrival.budget - host_.now();
+    const Duration left = tracked.arrived_at + tracked.info.time_budget - host_.now();
     if (slow == attempts_.end() || left.us <= 0 || !admission_.may_hedge(tracked.route, host_.now())) return;
-    Arrival arrival = tracked.arrival;
-    arrival.budget = left;
-    arrival.avoid = static_cast<std::int32_t>(slow->second.server);
-    const QueryIndex hedge_index = open();  // may move the elements of requests_
+    RequestInfo info = tracked.info;
+    info.time_budget = left;
+    info.avoided_server = static_cast<std::int32_t>(slow->second.server);
+    const RequestIndex hedge_index = open();  // may move the elements of requests_
     TrackedRequest& original = requests_[request];
     TrackedRequest& hedge = requests_[hedge_index];
     original.partner = hedge_index;
@@ -238,29 +240,31 @@
     // Attempts of a hedge do not count as the first attempts that retry budgets are a share of.
     hedge.prefill_attempted = hedge.decode_attempted = true;
     for (int cause = 0; cause < kRetryCauses; ++cause) hedge.max_retries[cause] = original.max_retries[cause];
-    ++counters_.copies;
-    ++original.summary.copies;
-    if (observer_) observer_->copied(request, slow->second.server);
-    rules_.query_arrived(hedge_index, arrival);
+    ++counters_.hedges;
+    ++original.summary.hedges;
+    if (observer_) observer_->hedged(request, slow->second.server);
+    router_.request_arrived(hedge_index, info);
 }
 
-void Desk::end_request(QueryIndex request, Fate outcome, std::string_view why) {
+void Dispatcher::end_request(RequestIndex request, RequestOutcome outcome, std::string_view why) {
     TrackedRequest& tracked = requests_[request];
     tracked.ended = true;
     if (observer_) observer_->ended(request, outcome, why, tracked.summary);
     if (shadow_evaluation_)
-        shadow_evaluation_->query_ended(request, outcome == Fate::settled || outcome == Fate::left);
-    if (tracked.queued) admission_.held(tracked.route, -1);
+        shadow_evaluation_->request_ended(
+            request, outcome == RequestOutcome::completed || outcome == RequestOutcome::client_left);
+    if (tracked.queued) admission_.queued(tracked.route, -1);
     tracked.queued = false;
-    admission_.query_over(tracked.route, tracked.prompt_tokens, tracked.streaming_attempt != 0, host_.now());
+    admission_.request_ended(tracked.route, tracked.prompt_tokens, tracked.streaming_attempt != 0,
+                             host_.now());
     ended_requests_.push_back(request);
     --open_count_;
 }
 
-void Desk::recycle_indexes() {
+void Dispatcher::recycle_indexes() {
     if (ended_requests_.empty()) return;
     std::size_t remaining = 0;
-    for (const QueryIndex request : ended_requests_) {
+    for (const RequestIndex request : ended_requests_) {
         TrackedRequest& tracked = requests_[request];
         if (!tracked.in_use) continue;
         // The attempts of a hedge also refer to the original request.
@@ -272,54 +276,54 @@
             continue;
         }
         tracked.in_use = false;
-        if (shadow_evaluation_ && !tracked.is_hedge) shadow_evaluation_->query_closed(request);
+        if (shadow_evaluation_ && !tracked.is_hedge) shadow_evaluation_->request_closed(request);
         free_indexes_.push_back(request);
         if (!tracked.is_hedge) host_.closed(request);
     }
     ended_requests_.resize(remaining);
 }
 
-void Desk::decline(QueryIndex request, Span retry_after) {
+void Dispatcher::reject(RequestIndex request, Duration retry_after) {
     if (is_answered(request) || yields_to_partner(request)) return;
-    const QueryIndex original = original_of(request);
+    const RequestIndex original = original_of(request);
     const char* reason = requests_[request].reason;
     const char* why = reason ? reason : "cannot be settled in time now";
     mark_routing_done(request);
-    end_request(original, Fate::declined, why);
-    ++counters_.declined;
-    host_.declined(original, retry_after, why);
+    end_request(original, RequestOutcome::rejected, why);
+    ++counters_.rejected;
+    host_.rejected(original, retry_after, why);
 }
 
-void Desk::give_up(QueryIndex request) {
+void Dispatcher::abandon(RequestIndex request) {
     if (is_answered(request) || yields_to_partner(request)) return;
-    const QueryIndex original = original_of(request);
+    const RequestIndex original = original_of(request);
     const char* reason = requests_[request].reason;
     mark_routing_done(request);
-    end_request(original, Fate::given_up, reason ? reason : "no answer in time");
-    ++counters_.given_up;
-    host_.given_up(original, "no answer in time");
+    end_request(original, RequestOutcome::abandoned, reason ? reason : "no answer in time");
+    ++counters_.abandoned;
+    host_.abandoned(original, "no answer in time");
 }
 
-void Desk::give_up_all(std::string_view why) {
+void Dispatcher::abandon_all(std::string_view why) {
     const EventScope scope(*this);
-    for (QueryIndex request = 0; request < requests_.size(); ++request) {
+    for (RequestIndex request = 0; request < requests_.size(); ++request) {
         if (!requests_[request].in_use || requests_[request].ended || requests_[request].is_hedge) continue;
-        ++counters_.given_up;
-        host_.given_up(request, why);
-        end_request(request, Fate::given_up, why);
-        const QueryIndex partner = active_partner(request);
-        if (!requests_[request].routing_done) rules_.query_left(request);
+        ++counters_.abandoned;
+        host_.abandoned(request, why);
+        end_request(request, RequestOutcome::abandoned, why);
+        const RequestIndex partner = active_partner(request);
+        if (!requests_[request].routing_done) router_.client_left(request);
         if (partner == kNoRequest) continue;
         mark_routing_done(partner);
-        rules_.query_left(partner);
+        router_.client_left(partner);
     }
 }
 
 // ---- server lists and probes
 
-void Desk::list_arrived(std::span<const Listing> entries, bool is_full_list) {
+void Dispatcher::list_arrived(std::span<const ServerListing> entries, bool is_snapshot) {
     const EventScope scope(*this);
-    for (const Listing& entry : entries) {
+    for (const ServerListing& entry : entries) {
         if (entry.server >= roles_.size()) {
             roles_.resize(entry.server + 1, Role::mixed);
             server_memory_.resize(entry.server + 1, 0);
@@ -329,33 +333,33 @@
         // A prefill server holds cached prefixes and states in transit, which this gateway cannot attribute
         // to itself.
         server_memory_[entry.server] =
-            roles_[entry.server] == Role::reader ? 0 : kinds_[entry.kind].memory_tokens;
+            roles_[entry.server] == Role::prefill ? 0 : kinds_[entry.kind].memory_tokens;
     }
-    if (shadow_evaluation_) shadow_evaluation_->list_arrived(entries, is_full_list);
-    rules_.list_arrived(entries, is_full_list);
+    if (shadow_evaluation_) shadow_evaluation_->list_arrived(entries, is_snapshot);
+    router_.list_arrived(entries, is_snapshot);
 }
 
-void Desk::list_missed() {
+void Dispatcher::list_fetch_failed() {
     const EventScope scope(*this);
-    if (shadow_evaluation_) shadow_evaluation_->list_missed();
-    rules_.list_missed();
+    if (shadow_evaluation_) shadow_evaluation_->list_fetch_failed();
+    router_.list_fetch_failed();
 }
 
-void Desk::probe(ServerIndex server) {
+void Dispatcher::probe(ServerIndex server) {
     ++counters_.probes;
     host_.probe(server);
 }
 
-void Desk::probe_answered(ServerIndex server, bool answered, const LoadReport& report) {
+void Dispatcher::probe_answered(ServerIndex server, bool answered, const LoadReport& report) {
     const EventScope scope(*this);
     if (answered) record_load_report(server, report);
     if (shadow_evaluation_) shadow_evaluation_->probe_answered(server, answered, report);
-    rules_.probe_answered(server, answered, report);
+    router_.probe_answered(server, answered, report);
 }
 
-void Desk::peer_told(std::string_view note) {
+void Dispatcher::peer_note_received(std::string_view note) {
     const EventScope scope(*this);
-    rules_.peer_told(note);
+    router_.peer_note_received(note);
 }
 
 }  // namespace copperfront
--- a/src/desk/desk.h
+++ b/src/desk/desk.h
@@ -3,7 +3,7 @@
 // stands between the router and the code that moves the bytes (sockets, or a test), takes no decisions of its
 // own, and uses no I/O and no clock.
 //
-// Every public method reports one event and must not be called from within a call to Outside.
+// Every public method reports one event and must not be called from within a call to DispatcherHost.
 #pragma once
 
 #include <cstdint>
@@ -27,74 +27,75 @@
 // Attempt ids start at 1 and are never reused by a dispatcher.
 
 // Interface through which the dispatcher acts. Implementations must not call back into the dispatcher.
-class Outside {
+class DispatcherHost {
   public:
-    virtual ~Outside() = default;
+    virtual ~DispatcherHost() = default;
     virtual Instant now() const = 0;
-    // Requests a call of Desk::time_came at this time or soon after. A later call replaces an earlier one.
-    virtual void wake_at(Instant at) = 0;
+    // Requests a call of Dispatcher::run_due_timers at this time or soon after. A later call replaces an
+    // earlier one.
+    virtual void schedule_wakeup(Instant at) = 0;
     // Starts a prefill. The state that it leaves on the server is named by `attempt`. After `limit` the
     // server may drop the attempt, because nobody waits for it any more.
-    virtual void send_read(AttemptId attempt, ServerIndex to, QueryIndex request, Span limit) = 0;
+    virtual void send_prefill(AttemptId attempt, ServerIndex to, RequestIndex request, Duration limit) = 0;
     // Starts a decode from `state`, which is held by the server `from`. If `state` is 0, there is no state
     // and the server prefills the prompt itself.
-    virtual void send_write(AttemptId attempt, ServerIndex to, QueryIndex request, AttemptId state,
-                            ServerIndex from, Span limit) = 0;
-    virtual void call_off(AttemptId attempt, ServerIndex at) = 0;
+    virtual void send_decode(AttemptId attempt, ServerIndex to, RequestIndex request, AttemptId state,
+                             ServerIndex from, Duration limit) = 0;
+    virtual void cancel_attempt(AttemptId attempt, ServerIndex at) = 0;
     // Withdraws an attempt that waits for its connection. Returns true if it was never sent, false if it may
     // have been sent.
-    virtual bool unsend(AttemptId attempt, ServerIndex at) = 0;
+    virtual bool cancel_if_unsent(AttemptId attempt, ServerIndex at) = 0;
     // Whether servers answer releases, with the answers reported to the hold ledger. Otherwise messages
     // arrive in order, and a release counts as done once it is sent.
-    virtual bool releases_are_answered() const { return false; }
+    virtual bool confirms_releases() const { return false; }
     virtual void release(ServerIndex at, AttemptId state) = 0;
     virtual void probe(ServerIndex server) = 0;
     virtual void subscribe() = 0;
     // Sends a note to all other gateways, where the terms allow it.
-    virtual void tell_peers(std::string_view /*note*/) {}
+    virtual void notify_peers(std::string_view /*note*/) {}
     // Final answers: exactly one for each request that arrived and whose client has not left.
-    virtual void settled(QueryIndex request) = 0;
-    virtual void declined(QueryIndex request, Span retry_after, std::string_view why) = 0;
-    virtual void given_up(QueryIndex request, std::string_view why) = 0;
+    virtual void completed(RequestIndex request) = 0;
+    virtual void rejected(RequestIndex request, Duration retry_after, std::string_view why) = 0;
+    virtual void abandoned(RequestIndex request, std::string_view why) = 0;
     // No later call refers to this request; its index may be reused.
-    virtual void closed(QueryIndex request) = 0;
+    virtual void closed(RequestIndex request) = 0;
     virtual void log(std::string_view line) = 0;
 };
 
 // Counters since the start.
-struct Tally {
-    std::uint64_t came = 0, left = 0, settled = 0, declined = 0, given_up = 0, streams_broken = 0,
-                  streams_silent = 0, leases_ended = 0;
-    std::uint64_t reads = 0, writes = 0, called_off = 0, releases = 0, probes = 0;
+struct DispatcherCounters {
+    std::uint64_t received = 0, client_left = 0, completed = 0, rejected = 0, abandoned = 0,
+                  streams_broken = 0, streams_silent = 0, leases_expired = 0;
+    std::uint64_t prefills = 0, decodes = 0, cancelled = 0, releases = 0, probes = 0;
     // Requests rejected by limits of their route, further attempts denied by these limits, and attempts
     // withdrawn because their connection was not made in time.
-    std::uint64_t over_limit = 0, not_again = 0, not_connected = 0, copies = 0, hedges_won = 0;
+    std::uint64_t over_limit = 0, retries_denied = 0, connect_timeouts = 0, hedges = 0, hedges_won = 0;
     std::uint64_t endings[9] = {};  // indexed by Ending
 };
 
-class Desk final : private Host {
+class Dispatcher final : private Host {
   public:
-    Desk(const Terms& terms, Outside& host, std::uint32_t seed);
+    Dispatcher(const Terms& terms, DispatcherHost& host, std::uint32_t seed);
 
     // Sets the observer of all events from now on; null removes it. It must outlive the dispatcher or be
     // removed before it is destroyed.
-    void watched_by(Witness* observer) { observer_ = observer; }
+    void set_observer(DispatcherObserver* observer) { observer_ = observer; }
 
     // Starts a shadow evaluation: counts where `terms` would lead to other decisions. Their categories, kinds
     // and client groups must be those of the dispatcher. Null ends the evaluation, and so does a change of
     // the dispatcher's own terms. Earlier server lists must be passed again.
-    void watch(const Terms* terms, std::uint32_t seed);
-    const Watching* watching() const { return shadow_evaluation_.get(); }
+    void evaluate_shadow_terms(const Terms* terms, std::uint32_t seed);
+    const ShadowEvaluation* shadow_evaluation() const { return shadow_evaluation_.get(); }
 
-    // Returns an index for a request that is about to arrive; query_came must follow. `key` is the name of
-    // the request in the hold ledger; 0 assigns a new one.
-    QueryIndex open(RequestKey key = 0);
-    RequestKey key_of(QueryIndex request) const { return requests_[request].key; }
+    // Returns an index for a request that is about to arrive; request_arrived must follow. `key` is the name
+    // of the request in the hold ledger; 0 assigns a new one.
+    RequestIndex open(RequestKey key = 0);
+    RequestKey key_of(RequestIndex request) const { return requests_[request].key; }
     // Rejects the request at once if limits of its route are used up. The request keeps these limits even if
     // the terms change meanwhile.
-    void query_came(QueryIndex request, Arrival arrival, RouteIndex route = 0, const RouteLimits& limits = {},
-                    bool is_repeat = false);
-    void query_left(QueryIndex request);
+    void request_arrived(RequestIndex request, RequestInfo info, RouteIndex route = 0,
+                         const RouteLimits& limits = {}, bool is_repeat = false);
+    void client_left(RequestIndex request);
 
     // Applies other terms from now on. Categories, kinds and client groups may only have been added.
     void terms_changed(const Terms& terms, std::span<const RouteLimits> routes);
@@ -104,27 +105,27 @@
 
     // Whether this gateway's share of limits that are stated for the fleet is learned from load reports;
     // otherwise all gateways have equal shares.
-    void parts_are_learned(bool learned);
+    void set_share_is_learned(bool learned);
     // The current share of this gateway.
-    double part() const;
+    double share() const;
 
-    void list_arrived(std::span<const Listing> entries, bool is_full_list);
-    void list_missed();
+    void list_arrived(std::span<const ServerListing> entries, bool is_snapshot);
+    void list_fetch_failed();
 
     // Reports a token of an attempt's answer. Returns true if it belongs to the stream of the client's
     // request, which is stored in `request`, and false if it must be dropped.
-    bool token_came(AttemptId attempt, QueryIndex& request);
+    bool token_received(AttemptId attempt, RequestIndex& request);
     // Reports the end of an attempt, once per attempt. It is ignored if the attempt has already ended. The
-    // dispatcher fills in the fields `took` and `over` of the outcome.
-    void attempt_ended(AttemptId attempt, Outcome outcome);
+    // dispatcher fills in the fields `duration` and `request_answered` of the outcome.
+    void attempt_ended(AttemptId attempt, AttemptOutcome outcome);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
-    void peer_told(std::string_view note);
-    void time_came();
+    void peer_note_received(std::string_view note);
+    void run_due_timers();
     // Abandons every open request, for a shutdown that has taken too long.
-    void give_up_all(std::string_view why);
+    void abandon_all(std::string_view why);
 
     // Whether an attempt that waits for its connection may still be sent. Called right before its first byte.
-    Denial may_be_written(AttemptId attempt, bool client_gone, Span stated_time_left);
+    Denial may_still_send(AttemptId attempt, bool client_gone, Duration stated_time_left);
     SendGuard& guard() { return guard_; }
     const SendGuard& guard() const { return guard_; }
     HoldLedger& ledger() { return ledger_; }
@@ -132,45 +133,45 @@
     // Reports that a part of an answer has arrived, which need not be a token.
     void answer_began(AttemptId attempt);
 
-    std::size_t open_queries() const { return open_count_; }
+    std::size_t open_requests() const { return open_count_; }
     std::size_t attempts_out() const { return attempts_.size(); }
-    Rules::Waiting waiting() const { return rules_.waiting(); }
-    const Tally& tally() const { return counters_; }
+    Router::Waiting waiting() const { return router_.waiting(); }
+    const DispatcherCounters& counters() const { return counters_; }
     const Admission& admission() const { return admission_; }
     // Whether the dispatcher has ever created an attempt with this id.
     bool was_made(AttemptId attempt) const { return attempt > 0 && attempt < next_attempt_; }
 
   private:
-    static constexpr QueryIndex kNoRequest = ~QueryIndex{0};
+    static constexpr RequestIndex kNoRequest = ~RequestIndex{0};
     struct TrackedRequest {
         RequestKey key = 0;  // name in the hold ledger
         bool in_use = false, ended = false, streams = true, queued = false;
-        Span max_silence;  // longest time without a token once the stream has begun
+        Duration max_silence;  // longest time without a token once the stream has begun
         // Whether the first attempt of each stage was made.
         bool prefill_attempted = false, decode_attempted = false;
         // The router sees a hedge as a request of its own, under an index that is not visible outside.
         // `partner` is the other of the two requests. `routing_done`: the router has finished with this
         // request, while its partner may still be answered.
         bool is_hedge = false, routing_done = false;
-        QueryIndex partner = kNoRequest;
-        Arrival arrival;  // set if the request may be hedged
+        RequestIndex partner = kNoRequest;
+        RequestInfo info;  // set if the request may be hedged
         RouteIndex route = 0;
         Effect effect = Effect::pure;
         bool may_have_run = false;  // whether an attempt may have had the request's effect
         double prompt_tokens = 0;
-        Span total_limit, hedge_after, connect_limit;
+        Duration total_limit, hedge_after, connect_limit;
         Instant arrived_at, deadline;
         std::uint32_t retries[kRetryCauses] = {}, max_retries[kRetryCauses] = {};
         std::uint32_t attempts_made = 0, in_flight = 0;
         AttemptId streaming_attempt = 0;  // the attempt whose stream the client receives
         AttemptId state = 0;              // the state that the next decode takes; 0: none
         ServerIndex state_server = 0;
-        Account summary;                  // kept for the observer
+        RequestSummary summary;           // kept for the observer
         const char* reason = nullptr;     // the latest reason given by the router
         std::vector<AttemptId> attempts;  // by attempt number
     };
     struct Attempt {
-        QueryIndex request = 0;
+        RequestIndex request = 0;
         ServerIndex server = 0;
         Instant sent_at, last_token_at;
         Instant send_by;           // the attempt must not be sent later than this
@@ -178,7 +179,8 @@
         double memory_tokens = 0;  // decode: memory that it takes on its server, in tokens
         bool is_prefill = false, streaming = false, cancelled = false;
         bool never_sent = false;  // it was not sent, and its outcome is about to be reported to the router
-        Outcome pending_outcome;  // of a cancelled attempt: reported once its close has reached the server
+        // Of a cancelled attempt: reported once its close has reached the server.
+        AttemptOutcome pending_outcome;
         const char* pending_reason = "";
     };
     enum class TimerKind {
@@ -204,81 +206,84 @@
     class EventScope;
 
     Instant now() const override { return host_.now(); }
-    void start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) override;
-    void retract(QueryIndex request, std::uint32_t number) override;
-    void decline(QueryIndex request, Span retry_after) override;
-    void give_up(QueryIndex request) override;
-    void release(QueryIndex request) override;
-    bool may_attempt_again(QueryIndex request, Ending after) override;
+    void start_attempt(RequestIndex request, ServerIndex server, const AttemptLimits& limits) override;
+    void cancel_attempt(RequestIndex request, std::uint32_t number) override;
+    void reject(RequestIndex request, Duration retry_after) override;
+    void abandon(RequestIndex request) override;
+    void release(RequestIndex request) override;
+    bool may_attempt_again(RequestIndex request, Ending after) override;
     void probe(ServerIndex server) override;
     void subscribe() override { host_.subscribe(); }
-    void tell_peers(std::string_view note) override { host_.tell_peers(note); }
-    void set_timer(Span from_now, TimerKey key) override { schedule_timer(from_now, TimerKind::router, key); }
+    void notify_peers(std::string_view note) override { host_.notify_peers(note); }
+    void set_timer(Duration from_now, TimerKey key) override {
+        schedule_timer(from_now, TimerKind::router, key);
+    }
     void log(std::string_view line) override { host_.log(line); }
 
     void record_load_report(ServerIndex server, const LoadReport& report);
-    bool keeps_trace() const override { return observer_ != nullptr; }
-    void chose(QueryIndex request, ServerIndex server, bool is_prefill, const char* why,
-               std::span<const Sight> candidates, std::size_t candidate_count) override;
-    void held(QueryIndex request, const char* why) override;
-    void ends(QueryIndex request, const char* why) override { requests_[request].reason = why; }
-    void shut(ServerIndex server, bool out) override {
-        if (observer_) observer_->shut(server, out);
+    bool is_tracing() const override { return observer_ != nullptr; }
+    void server_chosen(RequestIndex request, ServerIndex server, bool is_prefill, const char* why,
+                       std::span<const Candidate> candidates, std::size_t candidate_count) override;
+    void request_waits(RequestIndex request, const char* why) override;
+    void request_ends(RequestIndex request, const char* why) override { requests_[request].reason = why; }
+    void ejection_changed(ServerIndex server, bool out) override {
+        if (observer_) observer_->ejection_changed(server, out);
     }
 
-    void schedule_timer(Span from_now, TimerKind kind, std::uint64_t key);
-    void finish_attempt(AttemptId attempt, Outcome outcome, std::string_view why = "");
-    void cancel_then_finish(AttemptId attempt, const Outcome& outcome, const char* why);
-    void finish_after_close(Attempt& record, AttemptId attempt, const Outcome& outcome, const char* why);
-    void schedule_lease_timer(QueryIndex request);
-    void lease_expired(QueryIndex request);
+    void schedule_timer(Duration from_now, TimerKind kind, std::uint64_t key);
+    void finish_attempt(AttemptId attempt, AttemptOutcome outcome, std::string_view why = "");
+    void cancel_then_finish(AttemptId attempt, const AttemptOutcome& outcome, const char* why);
+    void finish_after_close(Attempt& record, AttemptId attempt, const AttemptOutcome& outcome,
+                            const char* why);
+    void schedule_lease_timer(RequestIndex request);
+    void lease_expired(RequestIndex request);
     void fire(const Timer& timer);
-    void total_limit_reached(QueryIndex request);
+    void total_limit_reached(RequestIndex request);
     void attempt_timer_fired(const Timer& timer);
     void check_stream_silence(AttemptId attempt);
-    void release_states(QueryIndex request, AttemptId except);
-    void end_request(QueryIndex request, Fate outcome, std::string_view why);
-    QueryIndex original_of(QueryIndex request) const {
+    void release_states(RequestIndex request, AttemptId except);
+    void end_request(RequestIndex request, RequestOutcome outcome, std::string_view why);
+    RequestIndex original_of(RequestIndex request) const {
         return requests_[request].is_hedge ? requests_[request].partner : request;
     }
-    QueryIndex active_partner(QueryIndex request) const;
-    bool yields_to_partner(QueryIndex request);
-    bool is_answered(QueryIndex request);
-    void mark_routing_done(QueryIndex request);
-    void cancel_partner(QueryIndex winner);
-    void start_hedge(QueryIndex request);
+    RequestIndex active_partner(RequestIndex request) const;
+    bool yields_to_partner(RequestIndex request);
+    bool is_answered(RequestIndex request);
+    void mark_routing_done(RequestIndex request);
+    void cancel_partner(RequestIndex winner);
+    void start_hedge(RequestIndex request);
     void recycle_indexes();
     void update_wakeup();
 
     std::vector<Kind> kinds_;
     std::vector<Category> categories_;
     std::uint32_t max_attempts_;
-    Outside& host_;
+    DispatcherHost& host_;
     std::vector<Role> roles_;  // by server
     // By server, in tokens: its memory, and the share of it taken by this gateway's decodes.
     std::vector<double> server_memory_, own_tokens_;
     std::vector<TrackedRequest> requests_;
-    std::vector<QueryIndex> free_indexes_, ended_requests_;
+    std::vector<RequestIndex> free_indexes_, ended_requests_;
     std::unordered_map<AttemptId, Attempt> attempts_;
     AttemptId next_attempt_ = 1;
-    std::deque<std::pair<AttemptId, Outcome>> deferred_outcomes_;
+    std::deque<std::pair<AttemptId, AttemptOutcome>> deferred_outcomes_;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
     std::uint64_t next_sequence_ = 0;
     Instant wakeup_at_;
     bool wakeup_scheduled_ = false;
     std::size_t open_count_ = 0;
-    Tally counters_;
-    Witness* observer_ = nullptr;
-    std::vector<Sight> candidates_;  // of the current choice
-    Choice choice_;
+    DispatcherCounters counters_;
+    DispatcherObserver* observer_ = nullptr;
+    std::vector<Candidate> candidates_;  // of the current choice
+    ServerChoice choice_;
     Admission admission_;
     bool share_is_learned_ = false;
     FleetShare fleet_share_;
-    std::unique_ptr<Watching> shadow_evaluation_;  // null: no shadow evaluation is running
+    std::unique_ptr<ShadowEvaluation> shadow_evaluation_;  // null: no shadow evaluation is running
     SendGuard guard_;
     HoldLedger ledger_;
     RequestKey next_key_ = 1;
-    Rules rules_;
+    Router router_;
 };
 
 }  // namespace copperfront
--- a/src/desk/desk_alarms.cpp
+++ b/src/desk/desk_alarms.cpp
@@ -5,20 +5,20 @@
 
 namespace copperfront {
 
-void Desk::schedule_timer(Span from_now, TimerKind kind, std::uint64_t key) {
+void Dispatcher::schedule_timer(Duration from_now, TimerKind kind, std::uint64_t key) {
     timers_.push({host_.now() + from_now, next_sequence_++, kind, key});
 }
 
-void Desk::update_wakeup() {
+void Dispatcher::update_wakeup() {
     if (timers_.empty()) return;
     const Instant first = timers_.top().due;
     if (wakeup_scheduled_ && first == wakeup_at_) return;
     wakeup_scheduled_ = true;
     wakeup_at_ = first;
-    host_.wake_at(first);
+    host_.schedule_wakeup(first);
 }
 
-void Desk::time_came() {
+void Dispatcher::run_due_timers() {
     const EventScope scope(*this);
     wakeup_scheduled_ = false;
     // Timers set meanwhile fire in the next call, as a timer of zero length would otherwise loop for ever.
@@ -31,19 +31,19 @@
     }
 }
 
-void Desk::fire(const Timer& timer) {
+void Dispatcher::fire(const Timer& timer) {
     switch (timer.kind) {
         case TimerKind::router:
-            return rules_.timer_rang(timer.key);
+            return router_.timer_fired(timer.key);
         case TimerKind::shadow_evaluation:
-            if (shadow_evaluation_) shadow_evaluation_->timer_rang(timer.key);
+            if (shadow_evaluation_) shadow_evaluation_->timer_fired(timer.key);
             return;
         case TimerKind::hedge:
-            return start_hedge(static_cast<QueryIndex>(timer.key));
+            return start_hedge(static_cast<RequestIndex>(timer.key));
         case TimerKind::lease:
-            return lease_expired(static_cast<QueryIndex>(timer.key));
+            return lease_expired(static_cast<RequestIndex>(timer.key));
         case TimerKind::total_limit:
-            return total_limit_reached(static_cast<QueryIndex>(timer.key));
+            return total_limit_reached(static_cast<RequestIndex>(timer.key));
         case TimerKind::attempt_limit:
         case TimerKind::connect_limit:
         case TimerKind::cancel_delivered:
@@ -52,7 +52,7 @@
     }
 }
 
-void Desk::total_limit_reached(QueryIndex request) {
+void Dispatcher::total_limit_reached(RequestIndex request) {
     // The index may have been reused since: the timer concerns only a request that arrived long enough ago.
     const TrackedRequest& tracked = requests_[request];
     if (!tracked.in_use || tracked.ended || tracked.streaming_attempt == 0 || tracked.total_limit.us <= 0 ||
@@ -60,45 +60,45 @@
         return;
     const auto it = attempts_.find(tracked.streaming_attempt);
     if (it == attempts_.end()) return;
-    host_.call_off(it->first, it->second.server);
-    Outcome outcome;
-    outcome.ending = Ending::broken;
+    host_.cancel_attempt(it->first, it->second.server);
+    AttemptOutcome outcome;
+    outcome.ending = Ending::connection_lost;
     finish_attempt(it->first, outcome, "all of it took longer than its route allows");
 }
 
-void Desk::attempt_timer_fired(const Timer& timer) {
+void Dispatcher::attempt_timer_fired(const Timer& timer) {
     const AttemptId attempt = timer.key;
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end()) return;
     if (timer.kind == TimerKind::cancel_delivered) {
-        const Outcome outcome = it->second.pending_outcome;
+        const AttemptOutcome outcome = it->second.pending_outcome;
         return finish_attempt(attempt, outcome, it->second.pending_reason);
     }
     if (it->second.cancelled) return;
     if (timer.kind == TimerKind::stream_silence) return check_stream_silence(attempt);
     if (it->second.streaming) return;
-    Outcome outcome;
+    AttemptOutcome outcome;
     if (timer.kind == TimerKind::connect_limit) {
         // The attempt was never sent, so it cannot have run: a request of any category may be retried at
         // once.
-        if (!host_.unsend(attempt, it->second.server)) return;
-        ++counters_.not_connected;
+        if (!host_.cancel_if_unsent(attempt, it->second.server)) return;
+        ++counters_.connect_timeouts;
         outcome.ending = Ending::unreachable;
         return finish_attempt(attempt, outcome, "its connection was not made in time");
     }
-    outcome.ending = Ending::late;
+    outcome.ending = Ending::timed_out;
     cancel_then_finish(attempt, outcome, "its time limit has passed");
 }
 
 // Guards against an answer whose end is lost: its client would wait for ever.
-void Desk::check_stream_silence(AttemptId attempt) {
+void Dispatcher::check_stream_silence(AttemptId attempt) {
     const Attempt& record = attempts_.at(attempt);
-    const Span left = record.last_token_at + requests_[record.request].max_silence - host_.now();
+    const Duration left = record.last_token_at + requests_[record.request].max_silence - host_.now();
     if (left.us > 0) return schedule_timer(left, TimerKind::stream_silence, attempt);
     ++counters_.streams_silent;
-    host_.call_off(attempt, record.server);
-    Outcome outcome;
-    outcome.ending = Ending::broken;
+    host_.cancel_attempt(attempt, record.server);
+    AttemptOutcome outcome;
+    outcome.ending = Ending::connection_lost;
     finish_attempt(attempt, outcome, "its stream fell silent");
 }
 
--- a/src/desk/desk_attempts.cpp
+++ b/src/desk/desk_attempts.cpp
@@ -7,23 +7,23 @@
 
 namespace copperfront {
 
-void Desk::chose(QueryIndex, ServerIndex, bool, const char* why, std::span<const Sight> candidates,
-                 std::size_t candidate_count) {
+void Dispatcher::server_chosen(RequestIndex, ServerIndex, bool, const char* why,
+                               std::span<const Candidate> candidates, std::size_t candidate_count) {
     // The attempt starts within the same call of the router and is reported to the observer with this choice.
     candidates_.assign(candidates.begin(), candidates.end());
     choice_ = {why, candidates_, candidate_count};
 }
 
-void Desk::held(QueryIndex request, const char* why) {
+void Dispatcher::request_waits(RequestIndex request, const char* why) {
     TrackedRequest& tracked = requests_[request];
     // The router repeats the reason each time it considers the request; only a change is reported.
     if (!observer_ || tracked.reason == why || tracked.ended || tracked.routing_done) return;
     tracked.reason = why;
-    observer_->held(original_of(request), why);
+    observer_->request_waits(original_of(request), why);
 }
 
-void Desk::start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) {
-    const Span limit = limits.answer;
+void Dispatcher::start_attempt(RequestIndex request, ServerIndex server, const AttemptLimits& limits) {
+    const Duration limit = limits.answer;
     TrackedRequest& tracked = requests_[request];
     const AttemptId id = next_attempt_++;
     Attempt record;
@@ -31,19 +31,19 @@
     record.server = server;
     record.sent_at = host_.now();
     record.send_by = record.sent_at + limits.write;
-    record.is_prefill = server < roles_.size() && roles_[server] == Role::reader;
+    record.is_prefill = server < roles_.size() && roles_[server] == Role::prefill;
     ++tracked.attempts_made;
     tracked.attempts.push_back(id);
-    const QueryIndex original = original_of(request);
+    const RequestIndex original = original_of(request);
     SendGuard::AttemptStart facts;
     facts.answered = tracked.ended || tracked.routing_done || requests_[original].ended ||
                      requests_[original].streaming_attempt != 0;
-    facts.attempt_out = tracked.in_flight > 0;
+    facts.attempt_in_flight = tracked.in_flight > 0;
     facts.may_have_run = tracked.may_have_run;
     facts.effect = tracked.effect;
-    facts.made = tracked.attempts_made;
-    facts.most = max_attempts_;
-    facts.left = limit;
+    facts.attempts = tracked.attempts_made;
+    facts.max_attempts = max_attempts_;
+    facts.time_left = limit;
     const Denial denial = guard_.may_start(facts);
     ++tracked.in_flight;
     if (denial == Denial::none) {
@@ -52,7 +52,7 @@
             record.memory_tokens = tracked.prompt_tokens;
             if (server < own_tokens_.size()) own_tokens_[server] += record.memory_tokens;
         }
-        if (tracked.queued) admission_.held(tracked.route, -1);
+        if (tracked.queued) admission_.queued(tracked.route, -1);
         tracked.queued = false;
         // Counts the first attempt of each stage; further ones have been admitted by may_attempt_again.
         bool& attempted = record.is_prefill ? tracked.prefill_attempted : tracked.decode_attempted;
@@ -61,36 +61,36 @@
         attempts_.emplace(id, record);
         ledger_.attempt_started(tracked.key, id, server, record.is_prefill, host_.now());
         if (shadow_evaluation_ && !tracked.is_hedge)
-            shadow_evaluation_->started(request, server, record.is_prefill);
+            shadow_evaluation_->attempt_started(request, server, record.is_prefill);
         schedule_timer(limit, TimerKind::attempt_limit, id);
         if (observer_) {
-            Account& summary = requests_[original].summary;
-            if (summary.reads + summary.writes == 0) summary.first_attempt = host_.now();
-            ++(record.is_prefill ? summary.reads : summary.writes);
-            (record.is_prefill ? summary.reader : summary.writer) = server;
-            if (record.is_prefill || record.state == 0) summary.read_tokens += tracked.prompt_tokens;
-            observer_->started(original, id, server, record.is_prefill, limit, choice_);
+            RequestSummary& summary = requests_[original].summary;
+            if (summary.prefills + summary.decodes == 0) summary.first_attempt = host_.now();
+            ++(record.is_prefill ? summary.prefills : summary.decodes);
+            (record.is_prefill ? summary.prefill_server : summary.decode_server) = server;
+            if (record.is_prefill || record.state == 0) summary.prefill_tokens += tracked.prompt_tokens;
+            observer_->attempt_started(original, id, server, record.is_prefill, limit, choice_);
         }
-        const Span connect =
+        const Duration connect =
             tracked.connect_limit.us > 0 ? std::min(tracked.connect_limit, limits.write) : limits.write;
         if (connect < limit) schedule_timer(connect, TimerKind::connect_limit, id);
         if (record.is_prefill) {
-            ++counters_.reads;
-            host_.send_read(id, server, original, limit);
+            ++counters_.prefills;
+            host_.send_prefill(id, server, original, limit);
         } else {
-            ++counters_.writes;
-            host_.send_write(id, server, original, record.state, tracked.state_server, limit);
+            ++counters_.decodes;
+            host_.send_decode(id, server, original, record.state, tracked.state_server, limit);
         }
         return;
     }
-    Outcome outcome;
-    outcome.ending = denial == Denial::no_time_left ? Ending::late : Ending::unsent;
+    AttemptOutcome outcome;
+    outcome.ending = denial == Denial::no_time_left ? Ending::timed_out : Ending::unsent;
     record.never_sent = true;
     attempts_.emplace(id, record);
     deferred_outcomes_.emplace_back(id, outcome);
 }
 
-Denial Desk::may_be_written(AttemptId attempt, bool client_gone, Span stated_time_left) {
+Denial Dispatcher::may_still_send(AttemptId attempt, bool client_gone, Duration stated_time_left) {
     const auto it = attempts_.find(attempt);
     SendGuard::AttemptWrite facts;
     facts.client_gone = client_gone;
@@ -107,13 +107,14 @@
 
 // The attempt ends with this outcome only once its close has reached the server: an attempt elsewhere before
 // that would run the request twice at the same time.
-void Desk::cancel_then_finish(AttemptId attempt, const Outcome& outcome, const char* why) {
+void Dispatcher::cancel_then_finish(AttemptId attempt, const AttemptOutcome& outcome, const char* why) {
     Attempt& record = attempts_.at(attempt);
-    host_.call_off(attempt, record.server);
+    host_.cancel_attempt(attempt, record.server);
     finish_after_close(record, attempt, outcome, why);
 }
 
-void Desk::finish_after_close(Attempt& record, AttemptId attempt, const Outcome& outcome, const char* why) {
+void Dispatcher::finish_after_close(Attempt& record, AttemptId attempt, const AttemptOutcome& outcome,
+                                    const char* why) {
     record.cancelled = true;
     const TrackedRequest& tracked = requests_[record.request];
     // No other attempt of this request follows.
@@ -126,16 +127,16 @@
     schedule_timer(SendGuard::close_travel_time(), TimerKind::cancel_delivered, attempt);
 }
 
-void Desk::retract(QueryIndex request, std::uint32_t number) {
+void Dispatcher::cancel_attempt(RequestIndex request, std::uint32_t number) {
     TrackedRequest& tracked = requests_[request];
     if (number >= tracked.attempts.size()) return;
     const auto it = attempts_.find(tracked.attempts[number]);
     if (it == attempts_.end() || it->second.streaming || it->second.cancelled || it->second.never_sent)
         return;
-    ++counters_.called_off;
-    Outcome outcome;
-    outcome.ending = Ending::retracted;
-    if (!host_.unsend(it->first, it->second.server))
+    ++counters_.cancelled;
+    AttemptOutcome outcome;
+    outcome.ending = Ending::cancelled;
+    if (!host_.cancel_if_unsent(it->first, it->second.server))
         return cancel_then_finish(it->first, outcome, "it is no longer wanted");
     // An attempt that was never sent has left no state behind. If its request has ended, it says nothing
     // about its server.
@@ -146,7 +147,7 @@
 
 // Releases states that no attempt waits for, on every server that may hold one. A prefill that was not
 // answered may also have left a state, so its server gets a release too.
-void Desk::release(QueryIndex request) {
+void Dispatcher::release(RequestIndex request) {
     TrackedRequest& tracked = requests_[request];
     AttemptId awaited = 0;
     for (const AttemptId id : tracked.attempts) {
@@ -160,24 +161,24 @@
 
 // Releases everything that may be held for the request except the state of the prefill `except`. A release is
 // not repeated: the hold ledger knows whether it is still owed.
-void Desk::release_states(QueryIndex request, AttemptId except) {
+void Dispatcher::release_states(RequestIndex request, AttemptId except) {
     const RequestKey key = requests_[request].key;
     const std::vector<HoldLedger::Entry> entries = ledger_.entries(key);
     for (const HoldLedger::Entry& entry : entries) {
-        if (entry.attempt == except || entry.wanted) continue;
+        if (entry.attempt == except || entry.release_wanted) continue;
         ledger_.want_release(key, entry.attempt);
     }
     for (const HoldLedger::Entry& entry : entries) {
-        if (entry.attempt == except || entry.wanted) continue;
+        if (entry.attempt == except || entry.release_wanted) continue;
         ++counters_.releases;
         if (observer_) observer_->released(original_of(request), entry.server, entry.attempt);
         host_.release(entry.server, entry.attempt);
-        if (!host_.releases_are_answered()) ledger_.assume_released(key, entry.attempt);
+        if (!host_.confirms_releases()) ledger_.assume_released(key, entry.attempt);
     }
 }
 
-void Desk::schedule_lease_timer(QueryIndex request) {
-    if (!ledger_.has_lease() || !host_.releases_are_answered()) return;
+void Dispatcher::schedule_lease_timer(RequestIndex request) {
+    if (!ledger_.has_lease() || !host_.confirms_releases()) return;
     if (ledger_.entries(requests_[request].key).empty()) return;
     schedule_timer(ledger_.lease_end(requests_[request].key) - host_.now(), TimerKind::lease, request);
 }
@@ -186,35 +187,35 @@
 // attempt itself stays in flight. If it has arrived and taken the state, the release has no effect on it. If
 // it still waits for the state, the release frees nothing and is owed again after the attempt ends. If it
 // arrives later, the server answers that the state is gone, which proves that the attempt never ran.
-void Desk::lease_expired(QueryIndex request) {
+void Dispatcher::lease_expired(RequestIndex request) {
     TrackedRequest& tracked = requests_[request];
-    if (!tracked.in_use || ledger_.need_of_release(tracked.key, host_.now()) == HoldLedger::Need::nothing)
+    if (!tracked.in_use || ledger_.release_need(tracked.key, host_.now()) == HoldLedger::Need::nothing)
         return;
     if (ledger_.lease_end(tracked.key) > host_.now()) return schedule_lease_timer(request);
-    if (ledger_.need_of_release(tracked.key, host_.now()) != HoldLedger::Need::due) return;
-    ++counters_.leases_ended;
+    if (ledger_.release_need(tracked.key, host_.now()) != HoldLedger::Need::due) return;
+    ++counters_.leases_expired;
     release_states(request, 0);
     tracked.state = 0;
-    if (!tracked.ended && !tracked.routing_done) rules_.state_expired(request);
+    if (!tracked.ended && !tracked.routing_done) router_.lease_expired(request);
 }
 
-bool Desk::may_attempt_again(QueryIndex request, Ending after) {
+bool Dispatcher::may_attempt_again(RequestIndex request, Ending after) {
     TrackedRequest& tracked = requests_[request];
-    const Cause cause = after == Ending::unreachable                          ? Cause::unreachable
-                        : after == Ending::full                               ? Cause::full
-                        : after == Ending::late || after == Ending::retracted ? Cause::silent
-                                                                              : Cause::failed;
+    const RetryCause cause = after == Ending::unreachable ? RetryCause::unreachable
+                             : after == Ending::refused   ? RetryCause::full
+                             : after == Ending::timed_out || after == Ending::cancelled ? RetryCause::silent
+                                                                                        : RetryCause::failed;
     const auto c = static_cast<std::size_t>(cause);
     if (tracked.retries[c] < tracked.max_retries[c] &&
         admission_.may_attempt_again(tracked.route, host_.now())) {
         ++tracked.retries[c];
         return true;
     }
-    ++counters_.not_again;
+    ++counters_.retries_denied;
     return false;
 }
 
-bool Desk::token_came(AttemptId attempt, QueryIndex& request) {
+bool Dispatcher::token_received(AttemptId attempt, RequestIndex& request) {
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end() || it->second.cancelled || it->second.is_prefill) return false;
     Attempt& record = it->second;
@@ -226,7 +227,7 @@
     }
     if (record.streaming) {
         record.last_token_at = host_.now();
-        admission_.tokens_came(tracked.route, 1, record.last_token_at);
+        admission_.tokens_received(tracked.route, 1, record.last_token_at);
         if (observer_) requests_[request].summary.tokens += 1;
         return requests_[request].streaming_attempt == attempt && !requests_[request].ended;
     }
@@ -249,33 +250,33 @@
     release_states(record.request, 0);
     ledger_.stream_began(tracked.key, attempt, host_.now());
     tracked.state = 0;
-    admission_.began(tracked.route, host_.now() - tracked.arrived_at, host_.now());
-    admission_.tokens_came(tracked.route, 1, host_.now());
-    const QueryIndex winner = record.request;
+    admission_.stream_began(tracked.route, host_.now() - tracked.arrived_at, host_.now());
+    admission_.tokens_received(tracked.route, 1, host_.now());
+    const RequestIndex winner = record.request;
     if (shadow_evaluation_ && !tracked.is_hedge)
         shadow_evaluation_->stream_began(winner, host_.now() - record.sent_at);
-    rules_.stream_began(winner, host_.now() - record.sent_at);
+    router_.stream_began(winner, host_.now() - record.sent_at);
     cancel_partner(winner);
     return true;
 }
 
-void Desk::answer_began(AttemptId attempt) {
+void Dispatcher::answer_began(AttemptId attempt) {
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end() || it->second.cancelled) return;
     ledger_.answer_began(requests_[it->second.request].key, attempt, host_.now());
 }
 
-void Desk::attempt_ended(AttemptId attempt, Outcome outcome) {
+void Dispatcher::attempt_ended(AttemptId attempt, AttemptOutcome outcome) {
     const auto it = attempts_.find(attempt);
     if (it == attempts_.end() || it->second.cancelled) return;
     const EventScope scope(*this);
     Attempt& record = it->second;
-    if (outcome.closed_here && !record.streaming)
+    if (outcome.closed_by_gateway && !record.streaming)
         return finish_after_close(record, attempt, outcome, "its answer was spoilt");
     finish_attempt(attempt, outcome);
 }
 
-void Desk::finish_attempt(AttemptId id, Outcome outcome, std::string_view why) {
+void Dispatcher::finish_attempt(AttemptId id, AttemptOutcome outcome, std::string_view why) {
     const auto it = attempts_.find(id);
     if (it == attempts_.end()) return;
     const Attempt record = it->second;
@@ -286,52 +287,53 @@
     TrackedRequest& tracked = requests_[record.request];
     --tracked.in_flight;
     ++counters_.endings[static_cast<std::size_t>(outcome.ending)];
-    outcome.took = host_.now() - record.sent_at;
+    outcome.duration = host_.now() - record.sent_at;
     if (is_sabotaged(Sabotage::retry_after_may_have_run) && !record.is_prefill &&
-        outcome.ending == Ending::broken) {
+        outcome.ending == Ending::connection_lost) {
         outcome.ending = Ending::unreachable;
     }
-    const QueryIndex original = original_of(record.request);
-    if (observer_) observer_->attempt_over(original, id, record.server, outcome.ending, outcome.took, why);
-    outcome.over = tracked.ended || tracked.routing_done;
+    const RequestIndex original = original_of(record.request);
+    if (observer_)
+        observer_->attempt_ended(original, id, record.server, outcome.ending, outcome.duration, why);
+    outcome.request_answered = tracked.ended || tracked.routing_done;
     const Ending e = outcome.ending;
-    const bool not_executed = e == Ending::unsent || e == Ending::unreachable || e == Ending::full;
-    if (e == Ending::settled) {
+    const bool not_executed = e == Ending::unsent || e == Ending::unreachable || e == Ending::refused;
+    if (e == Ending::completed) {
         ledger_.assume_released(tracked.key, record.state);
         release_states(record.request, 0);
     }
-    ledger_.attempt_over(tracked.key, id, e, host_.now());
+    ledger_.attempt_ended(tracked.key, id, e, host_.now());
     if (record.is_prefill && !not_executed) schedule_lease_timer(record.request);
     if (!record.is_prefill && !not_executed) tracked.may_have_run = true;
-    if (record.is_prefill && e == Ending::read) {
+    if (record.is_prefill && e == Ending::prefilled) {
         tracked.state = id;
         tracked.state_server = record.server;
     }
-    if (e == Ending::settled && record.state == tracked.state) tracked.state = 0;
+    if (e == Ending::completed && record.state == tracked.state) tracked.state = 0;
     const AttemptId streaming_attempt = requests_[original].streaming_attempt;
     if (!requests_[original].ended && !tracked.routing_done) {
-        if (e == Ending::settled && (streaming_attempt == 0 || streaming_attempt == id)) {
+        if (e == Ending::completed && (streaming_attempt == 0 || streaming_attempt == id)) {
             mark_routing_done(record.request);
-            end_request(original, Fate::settled, "");
-            ++counters_.settled;
-            outcome.over = true;
-            host_.settled(original);
+            end_request(original, RequestOutcome::completed, "");
+            ++counters_.completed;
+            outcome.request_answered = true;
+            host_.completed(original);
         } else if (streaming_attempt == id) {
             // A stream that breaks after its first token is lost: the client has part of the answer and is
             // notified at once.
             mark_routing_done(record.request);
-            end_request(original, Fate::given_up, "the stream broke");
-            ++counters_.given_up;
+            end_request(original, RequestOutcome::abandoned, "the stream broke");
+            ++counters_.abandoned;
             ++counters_.streams_broken;
-            outcome.over = true;
-            host_.given_up(original, "the stream broke");
+            outcome.request_answered = true;
+            host_.abandoned(original, "the stream broke");
         }
     }
     if (shadow_evaluation_ && !tracked.is_hedge)
         shadow_evaluation_->attempt_ended(record.request, record.server, outcome);
-    rules_.attempt_ended(record.request, record.server, outcome);
+    router_.attempt_ended(record.request, record.server, outcome);
     // Completed without a first token, so the partner has not been cancelled yet.
-    if (e == Ending::settled && outcome.over) cancel_partner(record.request);
+    if (e == Ending::completed && outcome.request_answered) cancel_partner(record.request);
 }
 
 }  // namespace copperfront
--- a/src/desk/desk_turn.h
+++ b/src/desk/desk_turn.h
@@ -8,20 +8,20 @@
 // Scope of one event. Consequences of the router's own actions (an attempt that cannot be made, a cancelled
 // attempt) are reported to it after the current call, never from within it. An index is reused only once
 // nothing refers to it.
-class Desk::EventScope {
+class Dispatcher::EventScope {
   public:
-    explicit EventScope(Desk& desk) : desk_(desk) { desk_.recycle_indexes(); }
+    explicit EventScope(Dispatcher& dispatcher) : dispatcher_(dispatcher) { dispatcher_.recycle_indexes(); }
     ~EventScope() {
-        while (!desk_.deferred_outcomes_.empty()) {
-            const auto [attempt, outcome] = desk_.deferred_outcomes_.front();
-            desk_.deferred_outcomes_.pop_front();
-            desk_.finish_attempt(attempt, outcome);
+        while (!dispatcher_.deferred_outcomes_.empty()) {
+            const auto [attempt, outcome] = dispatcher_.deferred_outcomes_.front();
+            dispatcher_.deferred_outcomes_.pop_front();
+            dispatcher_.finish_attempt(attempt, outcome);
         }
-        desk_.update_wakeup();
+        dispatcher_.update_wakeup();
     }
 
   private:
-    Desk& desk_;
+    Dispatcher& dispatcher_;
 };
 
 }  // namespace copperfront
--- a/src/desk/witness.h
+++ b/src/desk/witness.h
@@ -13,39 +13,41 @@
 
 namespace copperfront {
 
-enum class Fate : std::uint8_t { settled, declined, given_up, left, over_limit };
+enum class RequestOutcome : std::uint8_t { completed, rejected, abandoned, client_left, over_limit };
 
 // What the router compared when it chose a server. Empty if the router did not report it.
-struct Choice {
+struct ServerChoice {
     const char* why = "";
-    std::span<const Host::Sight> seen;
-    std::size_t of = 0;
+    std::span<const Host::Candidate> candidates;
+    std::size_t candidate_count = 0;
 };
 
 // Totals of a request, including its hedge.
-struct Account {
-    Instant came, first_attempt;  // first_attempt earlier than came: no attempt was made
-    Span first_token{-1};         // since arrival; -1: none
-    std::uint32_t reads = 0, writes = 0, copies = 0;
-    double read_tokens = 0, tokens = 0;
-    ServerIndex reader = 0, writer = 0;  // the latest ones, if any
+struct RequestSummary {
+    Instant arrived_at, first_attempt;  // first_attempt earlier than arrived_at: no attempt was made
+    Duration first_token{-1};           // since arrival; -1: none
+    std::uint32_t prefills = 0, decodes = 0, hedges = 0;
+    double prefill_tokens = 0, tokens = 0;
+    ServerIndex prefill_server = 0, decode_server = 0;  // the latest ones, if any
 };
 
-class Witness {
+class DispatcherObserver {
   public:
-    virtual ~Witness() = default;
+    virtual ~DispatcherObserver() = default;
     // Called once for consecutive equal reasons.
-    virtual void held(QueryIndex request, std::string_view why) = 0;
-    virtual void started(QueryIndex request, AttemptId attempt, ServerIndex server, bool is_prefill,
-                         Span limit, const Choice& choice) = 0;
-    virtual void attempt_over(QueryIndex request, AttemptId attempt, ServerIndex server, Ending ending,
-                              Span took, std::string_view why) = 0;
-    virtual void first_token(QueryIndex request, AttemptId attempt, ServerIndex server, Span took) = 0;
-    virtual void copied(QueryIndex request, ServerIndex slow_server) = 0;
-    virtual void released(QueryIndex request, ServerIndex server, AttemptId state) = 0;
+    virtual void request_waits(RequestIndex request, std::string_view why) = 0;
+    virtual void attempt_started(RequestIndex request, AttemptId attempt, ServerIndex server, bool is_prefill,
+                                 Duration limit, const ServerChoice& choice) = 0;
+    virtual void attempt_ended(RequestIndex request, AttemptId attempt, ServerIndex server, Ending ending,
+                               Duration duration, std::string_view why) = 0;
+    virtual void first_token(RequestIndex request, AttemptId attempt, ServerIndex server,
+                             Duration duration) = 0;
+    virtual void hedged(RequestIndex request, ServerIndex slow_server) = 0;
+    virtual void released(RequestIndex request, ServerIndex server, AttemptId state) = 0;
     // The final answer, or the client has left. Attempts may still end after it.
-    virtual void ended(QueryIndex request, Fate outcome, std::string_view why, const Account& summary) = 0;
-    virtual void shut(ServerIndex server, bool is_ejected) = 0;
+    virtual void ended(RequestIndex request, RequestOutcome outcome, std::string_view why,
+                       const RequestSummary& summary) = 0;
+    virtual void ejection_changed(ServerIndex server, bool is_ejected) = 0;
 };
 
 }  // namespace copperfront
--- a/src/door/names.h
+++ b/src/door/names.h
@@ -12,7 +12,7 @@
 
 // Returns the 64-bit FNV-1a hash of a name; 0 means no name. Sessions and shared prefixes are unbounded in
 // number, so they are hashed, not interned. The same name has the same hash at every gateway.
-inline std::uint64_t mark(std::string_view name) {
+inline std::uint64_t hash_of(std::string_view name) {
     if (name.empty()) return 0;
     std::uint64_t hash = 14695981039346656037ULL;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -21,9 +21,9 @@
 
 // A table of interned names that only grows: for servers, zones, kinds, categories and client groups, whose
 // number is bounded by the server list and the terms; not for names that clients can make up.
-class Names {
+class NameTable {
   public:
-    std::uint32_t index(const std::string& name) {
+    std::uint32_t intern(const std::string& name) {
         const auto [it, inserted] = index_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
         if (inserted) names_.push_back(name);
         return it->second;
--- a/src/gateway/callers.cpp
+++ b/src/gateway/callers.cpp
@@ -7,18 +7,20 @@
 
 namespace copperfront {
 
-class RpcClientConnections::Connection : public Link::Owner {
+class RpcClientConnections::Connection : public LineConnection::Owner {
   public:
     Connection(RpcClientConnections& parent, ClientId id, int fd, std::uint32_t listener)
         : parent_(parent), id_(id), listener_(listener), idle_timer_(parent.loop_, [this] { check_idle(); }) {
-        transport_ = Link::accepted(parent.loop_, fd,
-                                    {parent.bounds_.max_line_bytes, parent.bounds_.max_unsent_bytes}, *this);
+        transport_ = LineConnection::accepted(
+            parent.loop_, fd, {parent.bounds_.max_line_bytes, parent.bounds_.max_unsent_bytes}, *this);
         last_activity_ = parent.loop_.now();
         idle_timer_.set(parent.bounds_.client_idle_timeout);
     }
 
-    void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing, const std::string& what) override { parent_.drop(*this, what); }
+    void line_received(LineConnection&, std::string_view line) override;
+    void connection_closed(LineConnection&, CloseReason, const std::string& what) override {
+        parent_.drop(*this, what);
+    }
 
     void tokens(const rpc::Id& id, std::string_view text) {
         if (open_requests_.count(id)) transport_->send(rpc::tokens_line(id, text));
@@ -29,16 +31,16 @@
     }
     ClientId id() const { return id_; }
     const std::set<rpc::Id>& open_requests() const { return open_requests_; }
-    std::unique_ptr<Link> take_transport() {
-        idle_timer_.off();
+    std::unique_ptr<LineConnection> take_transport() {
+        idle_timer_.cancel();
         return std::move(transport_);
     }
     void send(const std::string& line) { transport_->send(line); }
 
   private:
     void check_idle() {
-        const Span idle_for = parent_.loop_.now() - last_activity_;
-        const Span limit = parent_.bounds_.client_idle_timeout;
+        const Duration idle_for = parent_.loop_.now() - last_activity_;
+        const Duration limit = parent_.bounds_.client_idle_timeout;
         if (open_requests_.empty() && idle_for >= limit) {
             parent_.drop(*this, "silent for too long");
             return;
@@ -47,7 +49,7 @@
     }
     // Answers a bad message with an error; closes the connection after too many of them.
     void report_bad_message(const rpc::Id& id, int code, const std::string& what) {
-        transport_->send(rpc::error(id, code, what));
+        transport_->send(rpc::error_line(id, code, what));
         if (++bad_message_count_ >= parent_.bounds_.max_bad_messages)
             parent_.drop(*this, "too many bad messages; the last: " + what);
     }
@@ -56,31 +58,31 @@
     RpcClientConnections& parent_;
     const ClientId id_;
     const std::uint32_t listener_;
-    std::unique_ptr<Link> transport_;
+    std::unique_ptr<LineConnection> transport_;
     Timer idle_timer_;
     Instant last_activity_;
     std::set<rpc::Id> open_requests_;
     std::size_t bad_message_count_ = 0;
 };
 
-void RpcClientConnections::Connection::line_came(Link&, std::string_view line) {
+void RpcClientConnections::Connection::line_received(LineConnection&, std::string_view line) {
     last_activity_ = parent_.loop_.now();
     auto parsed = rpc::parse(line);
-    if (const auto* problem = std::get_if<rpc::BadMessage>(&parsed)) {
+    if (const auto* problem = std::get_if<rpc::InvalidMessage>(&parsed)) {
         // With an id that is in use the error would look like that request's final answer.
         report_bad_message(open_requests_.count(problem->id) ? rpc::Id{} : problem->id, problem->code,
                            problem->text);
         return;
     }
     const auto& m = std::get<rpc::Message>(parsed);
-    if (m.sort == rpc::Sort::call) {
+    if (m.kind == rpc::MessageKind::request) {
         if (open_requests_.count(m.id)) {
             report_bad_message({}, rpc::kInvalidRequest,
                                "id " + rpc::text_of(m.id) + " is in use by an open call");
             return;
         }
         handle_call(m);
-    } else if (m.sort == rpc::Sort::notice) {
+    } else if (m.kind == rpc::MessageKind::notification) {
         if (m.method != rpc::kCancelled) return;
         const auto id = m.body.find("requestId");
         rpc::Id request_id;
@@ -100,25 +102,26 @@
 
 void RpcClientConnections::Connection::handle_call(const rpc::Message& m) {
     if (m.method == rpc::kPing) {
-        transport_->send(rpc::result(m.id, rpc::Json::object()));
+        transport_->send(rpc::result_line(m.id, rpc::Json::object()));
     } else if (m.method == rpc::kInitialize) {
-        transport_->send(rpc::hello_answer_line(m.id, parent_.gateway_name_, "0.2.0"));
+        transport_->send(rpc::hello_result_line(m.id, parent_.gateway_name_, "0.2.0"));
     } else if (m.method == rpc::kStatus) {
-        transport_->send(rpc::result(m.id, parent_.owner_.status()));
+        transport_->send(rpc::result_line(m.id, parent_.owner_.status()));
     } else if (m.method == rpc::kGenerate) {
-        auto params = rpc::read_ask(m.body);
+        auto params = rpc::read_generate_request(m.body);
         if (const auto* problem = std::get_if<std::string>(&params))
             return report_bad_message(m.id, rpc::kInvalidParams, *problem);
         if (open_requests_.size() >= parent_.bounds_.max_requests_per_client) {
-            transport_->send(rpc::error(m.id, rpc::kNotTaken, "too many open queries on this connection"));
+            transport_->send(
+                rpc::error_line(m.id, rpc::kNotAccepted, "too many open queries on this connection"));
             return;
         }
         open_requests_.insert(m.id);
         const std::string refusal =
-            parent_.owner_.request_received(id_, m.id, std::get<rpc::Ask>(params), listener_);
+            parent_.owner_.request_received(id_, m.id, std::get<rpc::GenerateRequest>(params), listener_);
         if (refusal.empty()) return;
         open_requests_.erase(m.id);
-        transport_->send(rpc::error(m.id, rpc::kNotTaken, "not taken", {{"reason", refusal}}));
+        transport_->send(rpc::error_line(m.id, rpc::kNotAccepted, "not taken", {{"reason", refusal}}));
     } else {
         report_bad_message(m.id, rpc::kMethodNotFound,
                            "unknown method " + m.method.substr(0, 80) +
@@ -134,10 +137,11 @@
 
 void RpcClientConnections::add_connection(int fd, std::uint32_t listener) {
     if (connections_.size() >= bounds_.max_clients) {
-        const std::string line = rpc::error({}, rpc::kNotTaken, "too many callers; come again later") + "\n";
+        const std::string line =
+            rpc::error_line({}, rpc::kNotAccepted, "too many callers; come again later") + "\n";
         [[maybe_unused]] const auto written = ::write(fd, line.data(), line.size());
         ::close(fd);
-        log_.say(Weight::warn, "callers", "a caller was turned away: too many connections",
+        log_.log(Severity::warn, "callers", "a caller was turned away: too many connections",
                  {{"bound", static_cast<std::int64_t>(bounds_.max_clients)}});
         return;
     }
@@ -158,11 +162,11 @@
     if (it == connections_.end()) return;
     std::unique_ptr<Connection> closed = std::move(it->second);
     connections_.erase(it);
-    Link::hand_off(loop_, connection.take_transport(), true);
+    LineConnection::detach_and_close(loop_, connection.take_transport(), true);
     const std::set<rpc::Id> open_requests = connection.open_requests();
     const ClientId id = connection.id();
-    loop_.bury(std::move(closed));
-    log_.say(Weight::debug, "callers", "client connection closed",
+    loop_.delete_later(std::move(closed));
+    log_.log(Severity::debug, "callers", "client connection closed",
              {{"caller", static_cast<std::int64_t>(id)},
               {"why", why},
               {"queries_left", static_cast<std::int64_t>(open_requests.size())}});
--- a/src/gateway/callers.h
+++ b/src/gateway/callers.h
@@ -24,8 +24,8 @@
         virtual ~Owner() = default;
         // Returns an empty string if the request is accepted; it then gets one final answer under this id.
         // Otherwise returns the reason for the refusal.
-        virtual std::string request_received(ClientId client, const rpc::Id& id, const rpc::Ask& params,
-                                             std::uint32_t listener) = 0;
+        virtual std::string request_received(ClientId client, const rpc::Id& id,
+                                             const rpc::GenerateRequest& params, std::uint32_t listener) = 0;
         // Answer of the status call.
         virtual rpc::Json status() const = 0;
         // The client cancelled the request or its connection closed; no answer is due any more.
--- a/src/gateway/engines.cpp
+++ b/src/gateway/engines.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kMaxOwedReleases = 10000;  // releases kept for one unreachable server
 // A server drops the states of a gateway that it has not heard from for some seconds (docs/protocol.md), so
 // older releases are useless.
-constexpr Span kOwedReleaseLifetime{10000000};
+constexpr Duration kOwedReleaseLifetime{10000000};
 
 }  // namespace
 
@@ -22,17 +22,19 @@
     bool removed = false;
 };
 
-class ServerConnections::Connection : public Link::Owner {
+class ServerConnections::Connection : public LineConnection::Owner {
   public:
     enum class State { connecting, initializing, open };
 
     Connection(ServerConnections& pool, Endpoint& endpoint)
         : pool_(pool),
           endpoint_(endpoint),
-          connect_timer_(pool.loop_, [this] { pool_.drop(*this, Closing::not_made, "connect timeout"); }),
+          connect_timer_(pool.loop_,
+                         [this] { pool_.drop(*this, CloseReason::connect_failed, "connect timeout"); }),
           health_timer_(pool.loop_, [this] { check_health(); }) {
-        transport_ = Link::dial(pool.loop_, endpoint.address,
-                                {pool.bounds_.max_line_bytes, pool.bounds_.max_unsent_bytes}, *this);
+        transport_ =
+            LineConnection::dial(pool.loop_, endpoint.address,
+                                 {pool.bounds_.max_line_bytes, pool.bounds_.max_unsent_bytes}, *this);
         connect_timer_.set(pool.bounds_.connect_timeout);
         last_received_ = last_used_ = pool.loop_.now();
     }
@@ -45,7 +47,7 @@
         last_used_ = pool_.loop_.now();
     }
     // Removes an attempt that still waits to be sent; the server never hears of it.
-    bool unsend(AttemptId attempt) {
+    bool cancel_if_unsent(AttemptId attempt) {
         if (open()) return false;
         const auto it =
             std::find_if(unsent_.begin(), unsent_.end(), [&](const auto& w) { return w.first == attempt; });
@@ -73,16 +75,16 @@
     void probe(std::int64_t number) {
         probes_.insert(number);
         last_used_ = pool_.loop_.now();
-        send(rpc::call(rpc::Id{"probe-" + std::to_string(number)}, rpc::kProbe, rpc::Json::object()));
+        send(rpc::request_line(rpc::Id{"probe-" + std::to_string(number)}, rpc::kProbe, rpc::Json::object()));
     }
 
-    void link_made(Link& connection) override {
+    void connection_opened(LineConnection& connection) override {
         state_ = State::initializing;
         connection.send(rpc::hello_line(rpc::Id{std::string("hello")}, pool_.hello_));
     }
 
-    void line_came(Link&, std::string_view line) override;
-    void link_closed(Link&, Closing reason, const std::string& what) override {
+    void line_received(LineConnection&, std::string_view line) override;
+    void connection_closed(LineConnection&, CloseReason reason, const std::string& what) override {
         pool_.drop(*this, reason, what);
     }
 
@@ -94,9 +96,9 @@
     }
     std::size_t probes() const { return probes_.size(); }
     Endpoint& endpoint() { return endpoint_; }
-    std::unique_ptr<Link> take_transport() {
-        connect_timer_.off();
-        health_timer_.off();
+    std::unique_ptr<LineConnection> take_transport() {
+        connect_timer_.cancel();
+        health_timer_.cancel();
         return std::move(transport_);
     }
 
@@ -106,25 +108,26 @@
         const Bounds& b = pool_.bounds_;
         if (attempts_.empty() && probes_.empty()) {
             if (now - last_used_ >= b.connection_idle_timeout)
-                return pool_.drop(*this, Closing::peer_ended, "idle");
+                return pool_.drop(*this, CloseReason::peer_closed, "idle");
         } else if (now - last_received_ >= b.server_silence_timeout) {
-            return pool_.drop(*this, Closing::broken, "silent with attempts in flight");
+            return pool_.drop(*this, CloseReason::broken, "silent with attempts in flight");
         } else if (now - last_received_ >= b.ping_after) {
-            transport_->send(rpc::call(rpc::Id{std::string("ping")}, rpc::kPing, rpc::Json::object()));
+            transport_->send(
+                rpc::request_line(rpc::Id{std::string("ping")}, rpc::kPing, rpc::Json::object()));
         }
         health_timer_.set(std::min(b.connection_idle_timeout, b.ping_after) * 0.5);
     }
     bool count_bad_message(const std::string& what) {
-        pool_.log_.say(Weight::warn, "engines", "an engine sent a bad message",
+        pool_.log_.log(Severity::warn, "engines", "an engine sent a bad message",
                        {{"server", endpoint_.name}, {"error", what}});
         if (++bad_message_count_ < pool_.bounds_.max_bad_messages) return false;
-        pool_.drop(*this, Closing::broken, "too many bad messages; the last: " + what);
+        pool_.drop(*this, CloseReason::broken, "too many bad messages; the last: " + what);
         return true;
     }
 
     ServerConnections& pool_;
     Endpoint& endpoint_;
-    std::unique_ptr<Link> transport_;
+    std::unique_ptr<LineConnection> transport_;
     State state_ = State::connecting;
     Timer connect_timer_, health_timer_;
     Instant last_received_, last_used_;
@@ -134,20 +137,20 @@
     std::size_t bad_message_count_ = 0;
 };
 
-void ServerConnections::Connection::line_came(Link&, std::string_view line) {
+void ServerConnections::Connection::line_received(LineConnection&, std::string_view line) {
     last_received_ = pool_.loop_.now();
     if (const auto tokens = rpc::plain_tokens(line)) {
         const auto attempt = static_cast<AttemptId>(tokens->id);
-        if (attempts_.count(attempt)) pool_.owner_.token_came(attempt, tokens->text);
+        if (attempts_.count(attempt)) pool_.owner_.token_received(attempt, tokens->text);
         return;
     }
     auto parsed = rpc::parse(line);
-    if (const auto* problem = std::get_if<rpc::BadMessage>(&parsed)) {
+    if (const auto* problem = std::get_if<rpc::InvalidMessage>(&parsed)) {
         count_bad_message(problem->text);
         return;
     }
     const auto& m = std::get<rpc::Message>(parsed);
-    if (m.sort == rpc::Sort::notice) {
+    if (m.kind == rpc::MessageKind::notification) {
         if (m.method != rpc::kTokens) return;  // unknown notifications are ignored, as JSON-RPC requires
         const auto id = m.body.find("requestId");
         const auto text = m.body.find("text");
@@ -156,24 +159,25 @@
             return;
         }
         const auto attempt = id->get<AttemptId>();
-        if (attempts_.count(attempt)) pool_.owner_.token_came(attempt, text->get_ref<const std::string&>());
+        if (attempts_.count(attempt))
+            pool_.owner_.token_received(attempt, text->get_ref<const std::string&>());
         return;
     }
-    if (m.sort == rpc::Sort::call) {
+    if (m.kind == rpc::MessageKind::request) {
         if (m.method == rpc::kPing)
-            transport_->send(rpc::result(m.id, rpc::Json::object()));
+            transport_->send(rpc::result_line(m.id, rpc::Json::object()));
         else
-            transport_->send(rpc::error(m.id, rpc::kMethodNotFound, "unknown method " + m.method));
+            transport_->send(rpc::error_line(m.id, rpc::kMethodNotFound, "unknown method " + m.method));
         return;
     }
     if (const auto* text_id = std::get_if<std::string>(&m.id)) {
         if (*text_id == "hello" && state_ == State::initializing) {
-            if (m.sort == rpc::Sort::error) {
-                pool_.drop(*this, Closing::not_made, "initialize was refused: " + m.text);
+            if (m.kind == rpc::MessageKind::error) {
+                pool_.drop(*this, CloseReason::connect_failed, "initialize was refused: " + m.text);
                 return;
             }
             state_ = State::open;
-            connect_timer_.off();
+            connect_timer_.cancel();
             health_timer_.set(std::min(pool_.bounds_.connection_idle_timeout, pool_.bounds_.ping_after) *
                               0.5);
             while (!unsent_.empty()) {
@@ -188,8 +192,8 @@
         if (text_id->rfind("probe-", 0) == 0) {
             const std::int64_t number = std::strtoll(text_id->c_str() + 6, nullptr, 10);
             if (probes_.erase(number))
-                pool_.owner_.probe_ended(endpoint_.server, m.sort == rpc::Sort::result,
-                                         rpc::read_report(m.body));
+                pool_.owner_.probe_ended(endpoint_.server, m.kind == rpc::MessageKind::result,
+                                         rpc::read_load_report(m.body));
             return;
         }
         if (*text_id == "ping") return;
@@ -213,8 +217,8 @@
     pool_.in_flight_.erase(entry);
     attempts_.erase(attempt);
     last_used_ = last_received_;
-    pool_.owner_.attempt_ended(attempt, rpc::read_outcome(m, is_prefill), rpc::number_at(m.body, "tokens"),
-                               rpc::text_at(m.body, "text"));
+    pool_.owner_.attempt_ended(attempt, rpc::read_outcome(m, is_prefill), rpc::number_or(m.body, "tokens"),
+                               rpc::string_or(m.body, "text"));
 }
 
 ServerConnections::ServerConnections(Loop& loop, const Bounds& bounds, rpc::Hello hello, Owner& owner,
@@ -279,19 +283,19 @@
     to.send_attempt(attempt, std::move(line));
 }
 
-void ServerConnections::call_off(ServerIndex, AttemptId attempt) {
+void ServerConnections::cancel_attempt(ServerIndex, AttemptId attempt) {
     const auto it = in_flight_.find(attempt);
     if (it == in_flight_.end()) return;
     Connection& connection = *it->second.connection;
     in_flight_.erase(it);
     connection.remove_attempt(attempt);
-    if (!connection.unsend(attempt))
+    if (!connection.cancel_if_unsent(attempt))
         connection.send(rpc::cancelled_line(rpc::Id{static_cast<std::int64_t>(attempt)}, "called off"));
 }
 
-bool ServerConnections::unsend(AttemptId attempt) {
+bool ServerConnections::cancel_if_unsent(AttemptId attempt) {
     const auto it = in_flight_.find(attempt);
-    if (it == in_flight_.end() || !it->second.connection->unsend(attempt)) return false;
+    if (it == in_flight_.end() || !it->second.connection->cancel_if_unsent(attempt)) return false;
     it->second.connection->remove_attempt(attempt);
     in_flight_.erase(it);
     return true;
@@ -314,7 +318,7 @@
     connection_for(*endpoints_.at(server)).probe(next_probe_++);
 }
 
-void ServerConnections::drop(Connection& connection, Closing reason, const std::string& what) {
+void ServerConnections::drop(Connection& connection, CloseReason reason, const std::string& what) {
     Endpoint& endpoint = connection.endpoint();
     const auto position = std::find_if(endpoint.connections.begin(), endpoint.connections.end(),
                                        [&](const auto& c) { return c.get() == &connection; });
@@ -322,19 +326,19 @@
     // The connection may be on the call stack, so it is deleted later.
     std::unique_ptr<Connection> closed = std::move(*position);
     endpoint.connections.erase(position);
-    Link::hand_off(loop_, connection.take_transport(), reason == Closing::peer_ended);
+    LineConnection::detach_and_close(loop_, connection.take_transport(), reason == CloseReason::peer_closed);
     const std::vector<AttemptId> attempts = connection.attempts();
     const std::size_t probes = connection.probes();
     const bool was_open = connection.open();
-    loop_.bury(std::move(closed));
+    loop_.delete_later(std::move(closed));
     if (what != "idle")
-        log_.say(Weight::debug, "engines", "connection to server closed",
+        log_.log(Severity::debug, "engines", "connection to server closed",
                  {{"server", endpoint.name},
                   {"error", what},
                   {"launches", static_cast<std::int64_t>(attempts.size())}});
 
-    Outcome outcome;
-    outcome.ending = was_open ? Ending::broken : Ending::unreachable;
+    AttemptOutcome outcome;
+    outcome.ending = was_open ? Ending::connection_lost : Ending::unreachable;
     for (const AttemptId attempt : attempts) in_flight_.erase(attempt);
     for (const AttemptId attempt : attempts) owner_.attempt_ended(attempt, outcome, 0, "");
     for (std::size_t n = 0; n < probes; ++n) owner_.probe_ended(endpoint.server, false, {});
--- a/src/gateway/engines.h
+++ b/src/gateway/engines.h
@@ -23,9 +23,9 @@
     class Owner {
       public:
         virtual ~Owner() = default;
-        virtual void attempt_ended(AttemptId attempt, const Outcome& outcome, double tokens,
+        virtual void attempt_ended(AttemptId attempt, const AttemptOutcome& outcome, double tokens,
                                    const std::string& text) = 0;
-        virtual void token_came(AttemptId attempt, std::string_view text) = 0;
+        virtual void token_received(AttemptId attempt, std::string_view text) = 0;
         virtual void probe_ended(ServerIndex server, bool answered, const LoadReport& report) = 0;
     };
 
@@ -40,10 +40,10 @@
 
     // The owner is notified when the attempt ends, but never from within these calls.
     void send(ServerIndex server, AttemptId attempt, std::string line, bool is_prefill);
-    void call_off(ServerIndex server, AttemptId attempt);
+    void cancel_attempt(ServerIndex server, AttemptId attempt);
     // Returns true if the attempt still waited for its connection and was never sent; the owner is then not
     // notified of its end.
-    bool unsend(AttemptId attempt);
+    bool cancel_if_unsent(AttemptId attempt);
     void release(ServerIndex server, const std::string& state);
     void probe(ServerIndex server);
 
@@ -58,7 +58,7 @@
     class Connection;
     struct Endpoint;
     Connection& connection_for(Endpoint& endpoint);
-    void drop(Connection& connection, Closing reason, const std::string& what);
+    void drop(Connection& connection, CloseReason reason, const std::string& what);
 
     Loop& loop_;
     Bounds bounds_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kMaxRoutesInStatus = 1000;
-constexpr Span kShutdownPollInterval{20000};
-constexpr Span kReloadPollInterval{20000};
-constexpr Span kFinalFlushTime{200000};  // for clients to receive their last answers
+constexpr Duration kShutdownPollInterval{20000};
+constexpr Duration kReloadPollInterval{20000};
+constexpr Duration kFinalFlushTime{200000};  // for clients to receive their last answers
 
 // Identifies this run of the process, so that states that an earlier run left at servers are not taken for
 // its own.
@@ -31,12 +31,12 @@
 }  // namespace
 
 Gateway::Gateway(Loop& loop, const GatewayTerms& terms, std::uint32_t seed, Log& log,
-                 const MakeDesk& make_desk)
+                 const MakeDispatcher& make_dispatcher)
     : loop_(loop),
       terms_(terms),
       log_(log),
       instance_id_(make_instance_id(loop.now(), seed)),
-      wakeup_timer_(loop, [this] { desk_->time_came(); }),
+      wakeup_timer_(loop, [this] { dispatcher_->run_due_timers(); }),
       stop_timer_(loop, [this] { continue_shutdown(); }),
       reload_timer_(loop, [this] { poll_reload(); }) {
     const rpc::Hello hello{terms_.name, terms_.zone, instance_id_};
@@ -47,31 +47,33 @@
     roster_ = std::make_unique<RosterClient>(
         loop, terms_, hello,
         [this](const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale) {
-            list_told(entries, is_snapshot, stale);
+            list_received(entries, is_snapshot, stale);
         },
-        [this] { desk_->list_missed(); }, log);
-    Outside& outside = *this;
+        [this] { dispatcher_->list_fetch_failed(); }, log);
+    DispatcherHost& host = *this;
     terms_changed_at_ = loop.now();
     const Terms core = to_core_terms(terms_);
     if (!terms_.trace.folder.empty())
         trace_ = std::make_unique<TraceObserver>(loop, log, terms_, instance_id_, servers_);
-    desk_ = make_desk ? make_desk(core, outside, seed) : std::make_unique<Desk>(core, outside, seed);
-    desk_->limits_changed(route_limits(), core.gateways);
-    desk_->watched_by(trace_.get());
-    desk_->parts_are_learned(terms_.learned_shares);
+    dispatcher_ =
+        make_dispatcher ? make_dispatcher(core, host, seed) : std::make_unique<Dispatcher>(core, host, seed);
+    dispatcher_->limits_changed(route_limits(), core.gateways);
+    dispatcher_->set_observer(trace_.get());
+    dispatcher_->set_share_is_learned(terms_.learned_shares);
     if (terms_.core.peers)
-        peers_ = std::make_unique<PeerNotes>(loop, Address::parse(terms_.peer_listen), terms_.peers,
-                                             [this](std::string_view note) { desk_->peer_told(note); });
+        peers_ = std::make_unique<PeerNotes>(
+            loop, Address::parse(terms_.peer_listen), terms_.peers,
+            [this](std::string_view note) { dispatcher_->peer_note_received(note); });
     roster_->start();
     for (std::uint32_t n = 0; n < terms_.listener_addresses.size(); ++n) {
         listeners_.push_back(
             std::make_unique<Listener>(loop, Address::parse(terms_.listener_addresses[n]),
                                        [this, n](int fd) { client_connections_->add_connection(fd, n); }));
-        listeners_.back()->on_trouble = [this](const std::string& what) {
-            log_.say(Weight::error, "callers", "cannot accept connections for a moment", {{"error", what}});
+        listeners_.back()->on_accept_error = [this](const std::string& what) {
+            log_.log(Severity::error, "callers", "cannot accept connections for a moment", {{"error", what}});
         };
     }
-    log_.say(Weight::info, "gateway", "started",
+    log_.log(Severity::info, "gateway", "started",
              {{"gateway", terms_.name},
               {"zone", terms_.zone},
               {"address", address().text()},
@@ -104,14 +106,14 @@
     client_group_index_.clear();
     std::vector<double> quotas(groups_.size(), 0);  // a removed group has no quota
     for (std::uint32_t g = 0; g < terms.core.quotas.size(); ++g) {
-        const std::uint32_t index = groups_.index(terms.client_groups.name(g));
+        const std::uint32_t index = groups_.intern(terms.client_groups.name(g));
         quotas.resize(groups_.size(), 0);
         quotas[index] = terms.core.quotas[g];
         client_group_index_.push_back(static_cast<std::int32_t>(index));
     }
     core.quotas = quotas;
     route_index_.clear();
-    for (const RouteTerms& r : terms.routes) route_index_.push_back(routes_.index(r.name));
+    for (const RouteTerms& r : terms.routes) route_index_.push_back(routes_.intern(r.name));
     return core;
 }
 
@@ -125,13 +127,13 @@
     return limits;
 }
 
-bool Gateway::change_terms(GatewayTerms terms, std::vector<Fault>& diagnostics) {
+bool Gateway::change_terms(GatewayTerms terms, std::vector<Diagnostic>& diagnostics) {
     const auto must_not_change = [&](const char* path, bool changed) {
         if (changed)
             diagnostics.push_back(
                 {0, path, "cannot change while the gateway runs; restart the gateway to change it"});
     };
-    const auto keeps_indices = [](const Names& now, const Names& before) {
+    const auto keeps_indices = [](const NameTable& now, const NameTable& before) {
         bool same = now.size() >= before.size();
         for (std::uint32_t n = 0; same && n < before.size(); ++n) same = now.name(n) == before.name(n);
         return same;
@@ -165,15 +167,16 @@
     client_connections_->set_bounds(terms_.bounds);
     server_connections_->set_bounds(terms_.bounds);
     log_.set_level(terms_.logging.level);
-    if (desk_->watching())
-        log_.say(Weight::warn, "gateway", "shadow evaluation ends because the terms have changed");
-    desk_->terms_changed(core, route_limits());
-    desk_->parts_are_learned(terms_.learned_shares);
+    if (dispatcher_->shadow_evaluation())
+        log_.log(Severity::warn, "gateway", "shadow evaluation ends because the terms have changed");
+    dispatcher_->terms_changed(core, route_limits());
+    dispatcher_->set_share_is_learned(terms_.learned_shares);
     return true;
 }
 
-bool Gateway::watch(const GatewayTerms& other, std::vector<Fault>& diagnostics, std::uint32_t seed) {
-    const auto same = [&](const char* form, const Names& a, const Names& b) {
+bool Gateway::start_shadow_evaluation(const GatewayTerms& other, std::vector<Diagnostic>& diagnostics,
+                                      std::uint32_t seed) {
+    const auto same = [&](const char* form, const NameTable& a, const NameTable& b) {
         bool equal_names = a.size() == b.size();
         for (std::uint32_t n = 0; equal_names && n < a.size(); ++n) equal_names = a.name(n) == b.name(n);
         if (!equal_names)
@@ -191,9 +194,9 @@
     Terms core = other.core;
     core.zone = terms_.core.zone;
     core.ask_for_list = false;  // the shadow evaluation gets the same lists as the dispatcher
-    desk_->watch(&core, seed);
+    dispatcher_->evaluate_shadow_terms(&core, seed);
     roster_->replay_list();
-    log_.say(Weight::info, "gateway", "shadow evaluation of other terms started");
+    log_.log(Severity::info, "gateway", "shadow evaluation of other terms started");
     return true;
 }
 
@@ -207,14 +210,14 @@
     if (loaded.ok && change_terms(std::move(loaded.terms), loaded.diagnostics)) {
         reload_error_.clear();
         if (trace_)
-            trace_->record_event(trace::Happening::terms, "", "", static_cast<std::int64_t>(generation_));
-        log_.say(Weight::info, "gateway", "new terms hold",
+            trace_->record_event(trace::EventKind::new_terms, "", "", static_cast<std::int64_t>(generation_));
+        log_.log(Severity::info, "gateway", "new terms hold",
                  {{"generation", static_cast<std::int64_t>(generation_)},
                   {"routes", static_cast<std::int64_t>(terms_.routes.size())}});
         return true;
     }
-    reload_error_ = text_of(path, loaded.diagnostics);
-    log_.say(Weight::error, "gateway", "new terms are refused; the old ones stay",
+    reload_error_ = format_diagnostics(path, loaded.diagnostics);
+    log_.log(Severity::error, "gateway", "new terms are refused; the old ones stay",
              {{"generation", static_cast<std::int64_t>(generation_)}, {"error", reload_error_}});
     return false;
 }
@@ -223,7 +226,7 @@
     return apply_loaded(path, load_terms(path, overrides));
 }
 
-void Gateway::reload_aside(const std::string& path, const Overrides& overrides) {
+void Gateway::reload_in_background(const std::string& path, const Overrides& overrides) {
     if (pending_reload_.valid()) {
         reload_again_ = true;
         return;
@@ -245,44 +248,44 @@
     apply_loaded(reload_path_, pending_reload_.get());
     if (!std::exchange(reload_again_, false)) return;
     const std::string path = reload_path_;
-    reload_aside(path, Overrides(reload_overrides_));
+    reload_in_background(path, Overrides(reload_overrides_));
 }
 
 rpc::Json Gateway::status() const {
-    const Tally& t = desk_->tally();
+    const DispatcherCounters& t = dispatcher_->counters();
     rpc::Json routes = rpc::Json::array();
     for (std::uint32_t r = 0; r < routes_.size() && routes.size() < kMaxRoutesInStatus; ++r) {
-        const RouteCounts c = desk_->admission().counts(r);
-        if (c.taken == 0 && c.refused == 0) continue;
+        const RouteCounts c = dispatcher_->admission().counts(r);
+        if (c.admitted == 0 && c.rejected == 0) continue;
         rpc::Json row = {{"route", routes_.name(r)},
-                         {"taken", c.taken},
-                         {"refused", c.refused},
-                         {"inHand", c.in_hand},
-                         {"held", c.held},
+                         {"taken", c.admitted},
+                         {"refused", c.rejected},
+                         {"inHand", c.in_flight},
+                         {"held", c.queued},
                          {"promptTokens", c.prompt_tokens},
-                         {"furtherRefused", c.further_refused}};
+                         {"furtherRefused", c.retries_denied}};
         if (c.limit < kNoLimit) row["limit"] = c.limit;
         routes.push_back(std::move(row));
     }
     return {{"gateway", terms_.name},
             {"life", instance_id_},
             {"generation", generation_},
-            {"partOfFleet", terms_.learned_shares ? desk_->part() : 1.0 / terms_.core.gateways},
+            {"partOfFleet", terms_.learned_shares ? dispatcher_->share() : 1.0 / terms_.core.gateways},
             {"termsForS", static_cast<double>((loop_.now() - terms_changed_at_).us) / 1e6},
             {"refused", reload_error_},
             {"stopping", stopping_},
             {"roster", roster_->is_synced() ? "live" : "lost"},
             {"servers", roster_->size()},
             {"callers", client_connections_->size()},
-            {"open", desk_->open_queries()},
-            {"came", t.came},
-            {"settled", t.settled},
-            {"declined", t.declined},
-            {"givenUp", t.given_up},
-            {"left", t.left},
+            {"open", dispatcher_->open_requests()},
+            {"came", t.received},
+            {"settled", t.completed},
+            {"declined", t.rejected},
+            {"givenUp", t.abandoned},
+            {"left", t.client_left},
             {"overLimit", t.over_limit},
-            {"notAgain", t.not_again},
-            {"notConnected", t.not_connected},
+            {"notAgain", t.retries_denied},
+            {"notConnected", t.connect_timeouts},
             {"traceWritten", trace_ ? trace_->recorder().written() : 0},
             {"traceDropped", trace_ ? trace_->recorder().dropped() : 0},
             {"routes", routes},
@@ -297,23 +300,29 @@
 }
 
 rpc::Json Gateway::shadow_status() const {
-    if (!desk_->watching()) return nullptr;
-    const Differences& d = desk_->watching()->differences();
-    return {{"alike", d.alike}, {"reader", d.reader},  {"writer", d.writer},        {"held", d.held},
-            {"ended", d.ended}, {"wentOn", d.went_on}, {"calledOff", d.called_off}, {"probes", d.probes},
-            {"notes", d.notes}};
+    if (!dispatcher_->shadow_evaluation()) return nullptr;
+    const ShadowDifferences& d = dispatcher_->shadow_evaluation()->differences();
+    return {{"alike", d.same_server},
+            {"reader", d.other_prefill_server},
+            {"writer", d.other_decode_server},
+            {"held", d.not_sent},
+            {"ended", d.ended_early},
+            {"wentOn", d.continued},
+            {"calledOff", d.cancelled},
+            {"probes", d.probes},
+            {"notes", d.peer_notes}};
 }
 
 // ---- from clients
 
-std::string Gateway::request_received(ClientId client, const rpc::Id& id, const rpc::Ask& params,
+std::string Gateway::request_received(ClientId client, const rpc::Id& id, const rpc::GenerateRequest& params,
                                       std::uint32_t listener) {
     if (stopping_) return "the gateway stops; ask another";
     const std::uint32_t* category = terms_.categories.find(params.category);
     if (!category) return "unknown category " + params.category;
-    Arrival info;
+    RequestInfo info;
     info.category = category_index_[*category];
-    RouteQuery route_request;
+    RouteRequest route_request;
     route_request.category = *category;
     route_request.listener = listener;
     if (!params.client_group.empty()) {
@@ -322,7 +331,7 @@
         info.client_group = client_group_index_[*group];
         route_request.client_group = *group;
     }
-    if (desk_->open_queries() >= terms_.bounds.max_open_requests) return "too many queries in hand";
+    if (dispatcher_->open_requests() >= terms_.bounds.max_open_requests) return "too many queries in hand";
     // Attributes that no route uses as a condition are ignored and not stored.
     for (const std::string& attribute : params.attributes)
         if (const std::uint32_t* known = terms_.attributes.find(attribute))
@@ -331,14 +340,14 @@
     route_request.prompt_tokens = params.prompt_tokens;
     const std::uint32_t position = terms_.table.find(route_request);
     const RouteTerms& route = terms_.routes[position];
-    info.session = mark(params.session);
-    info.beginning = mark(params.beginning);
+    info.session = hash_of(params.session);
+    info.shared_prefix = hash_of(params.shared_prefix);
     info.prompt_tokens = params.prompt_tokens;
-    info.beginning_tokens = params.beginning_tokens;
-    info.most_tokens = params.most_tokens;
-    info.hint = params.hint;
-    info.budget = std::min(params.budget, terms_.deadlines[*category]);
-    const QueryIndex query = desk_->open();
+    info.shared_prefix_tokens = params.shared_prefix_tokens;
+    info.max_output_tokens = params.max_output_tokens;
+    info.duration_hint = params.duration_hint;
+    info.time_budget = std::min(params.time_budget, terms_.deadlines[*category]);
+    const RequestIndex query = dispatcher_->open();
     if (query >= open_requests_.size()) open_requests_.resize(query + 1);
     OpenRequest& open_request = open_requests_[query];
     open_request = {client,
@@ -349,8 +358,8 @@
                     "",
                     terms_.core.categories[*category].stream};
     request_by_id_[{client, id}] = query;
-    if (log_.writes(Weight::debug))
-        log_.say(Weight::debug, "gateway", "query came",
+    if (log_.is_enabled(Severity::debug))
+        log_.log(Severity::debug, "gateway", "query came",
                  {{"query", open_request.name},
                   {"category", params.category},
                   {"tokens", params.prompt_tokens},
@@ -358,55 +367,57 @@
                   {"generation", static_cast<std::int64_t>(generation_)}});
     if (trace_) {
         const Category& c = terms_.core.categories[*category];
-        trace_->request_arrived(query, {static_cast<std::int64_t>(request_count_), route.name,
-                                        params.category, params.client_group, info.session, info.beginning,
-                                        generation_, info.prompt_tokens, info.most_tokens, info.budget,
-                                        c.latency_goal + c.goal_per_thousand * (info.prompt_tokens / 1000)});
+        trace_->request_arrived(
+            query,
+            {static_cast<std::int64_t>(request_count_), route.name, params.category, params.client_group,
+             info.session, info.shared_prefix, generation_, info.prompt_tokens, info.max_output_tokens,
+             info.time_budget, c.latency_goal + c.goal_per_thousand * (info.prompt_tokens / 1000)});
     }
-    desk_->query_came(query, info, route_index_[position], route.limits, params.again);
+    dispatcher_->request_arrived(query, info, route_index_[position], route.limits, params.is_repeat);
     return "";
 }
 
 void Gateway::client_left(ClientId client, const rpc::Id& id) {
     const auto it = request_by_id_.find({client, id});
     if (it == request_by_id_.end()) return;
-    const QueryIndex query = it->second;
+    const RequestIndex query = it->second;
     request_by_id_.erase(it);
-    log_.say(Weight::debug, "gateway", "query left", {{"query", open_requests_[query].name}});
-    desk_->query_left(query);
+    log_.log(Severity::debug, "gateway", "query left", {{"query", open_requests_[query].name}});
+    dispatcher_->client_left(query);
 }
 
 // ---- to clients
 
-void Gateway::answer(QueryIndex query, const std::string& line, const char* outcome) {
+void Gateway::answer(RequestIndex query, const std::string& line, const char* outcome) {
     const OpenRequest& open_request = open_requests_[query];
     request_by_id_.erase({open_request.client, open_request.id});
-    client_connections_->answer(open_request.client, open_request.id, final_line(line));
-    if (log_.writes(Weight::debug))
-        log_.say(Weight::debug, "gateway", outcome,
+    client_connections_->answer(open_request.client, open_request.id, rewrite_final_line(line));
+    if (log_.is_enabled(Severity::debug))
+        log_.log(Severity::debug, "gateway", outcome,
                  {{"query", open_request.name}, {"tokens", open_request.tokens}});
 }
 
-void Gateway::settled(QueryIndex query) {
+void Gateway::completed(RequestIndex query) {
     const OpenRequest& open_request = open_requests_[query];
     if (open_request.is_streamed)
-        answer(query, rpc::settled_line(open_request.id, answer_tokens_), "settled");
+        answer(query, rpc::completed_line(open_request.id, answer_tokens_), "settled");
     else
-        answer(query,
-               rpc::result(open_request.id,
-                           {{"tokens", answer_tokens_}, {"text", answer_text_}, {"stopReason", "endTurn"}}),
-               "settled");
+        answer(
+            query,
+            rpc::result_line(open_request.id,
+                             {{"tokens", answer_tokens_}, {"text", answer_text_}, {"stopReason", "endTurn"}}),
+            "settled");
 }
 
-void Gateway::declined(QueryIndex query, Span stay_away, std::string_view why) {
-    answer(query, rpc::declined_line(open_requests_[query].id, why, stay_away), "declined");
+void Gateway::rejected(RequestIndex query, Duration retry_after, std::string_view why) {
+    answer(query, rpc::rejected_line(open_requests_[query].id, why, retry_after), "declined");
 }
 
-void Gateway::given_up(QueryIndex query, std::string_view why) {
-    answer(query, rpc::given_up_line(open_requests_[query].id, why), "given up");
+void Gateway::abandoned(RequestIndex query, std::string_view why) {
+    answer(query, rpc::abandoned_line(open_requests_[query].id, why), "given up");
 }
 
-void Gateway::closed(QueryIndex query) { open_requests_[query] = {}; }
+void Gateway::closed(RequestIndex query) { open_requests_[query] = {}; }
 
 // ---- to servers
 
@@ -414,54 +425,58 @@
     return terms_.name + "." + instance_id_ + "/" + std::to_string(attempt);
 }
 
-rpc::Order Gateway::make_attempt_request(const OpenRequest& open_request, Span limit) const {
-    rpc::Order attempt_request;
+rpc::AttemptRequest Gateway::make_attempt_request(const OpenRequest& open_request, Duration limit) const {
+    rpc::AttemptRequest attempt_request;
     attempt_request.query = open_request.name;
     attempt_request.category = open_request.params.category;
     attempt_request.session = open_request.params.session;
-    attempt_request.beginning = open_request.params.beginning;
-    attempt_request.mark = open_request.params.mark;
+    attempt_request.shared_prefix = open_request.params.shared_prefix;
+    attempt_request.idempotency_key = open_request.params.idempotency_key;
     attempt_request.prompt_tokens = open_request.params.prompt_tokens;
-    attempt_request.beginning_tokens = open_request.params.beginning_tokens;
-    attempt_request.most_tokens = open_request.params.most_tokens;
+    attempt_request.shared_prefix_tokens = open_request.params.shared_prefix_tokens;
+    attempt_request.max_output_tokens = open_request.params.max_output_tokens;
     attempt_request.limit = limit;
     attempt_request.stream = open_request.is_streamed;
     return attempt_request;
 }
 
-void Gateway::send_read(AttemptId attempt, ServerIndex to, QueryIndex query, Span limit) {
-    rpc::Order attempt_request = make_attempt_request(open_requests_[query], limit);
+void Gateway::send_prefill(AttemptId attempt, ServerIndex to, RequestIndex query, Duration limit) {
+    rpc::AttemptRequest attempt_request = make_attempt_request(open_requests_[query], limit);
     attempt_request.state = state_name(attempt);
     attempt_request.prompt = open_requests_[query].params.prompt;
     const rpc::Id id{static_cast<std::int64_t>(attempt)};
-    server_connections_->send(to, attempt, rpc::order_line(id, rpc::kRead, attempt_request), true);
-    if (log_.writes(Weight::debug))
-        log_.say(Weight::debug, "gateway", "launch to read",
+    server_connections_->send(to, attempt, rpc::attempt_request_line(id, rpc::kPrefill, attempt_request),
+                              true);
+    if (log_.is_enabled(Severity::debug))
+        log_.log(Severity::debug, "gateway", "launch to read",
                  {{"query", attempt_request.query},
                   {"launch", static_cast<std::int64_t>(attempt)},
                   {"server", servers_.name(to)}});
 }
 
-void Gateway::send_write(AttemptId attempt, ServerIndex to, QueryIndex query, AttemptId state,
-                         ServerIndex from, Span limit) {
+void Gateway::send_decode(AttemptId attempt, ServerIndex to, RequestIndex query, AttemptId state,
+                          ServerIndex from, Duration limit) {
     const OpenRequest& open_request = open_requests_[query];
-    rpc::Order attempt_request = make_attempt_request(open_request, limit);
+    rpc::AttemptRequest attempt_request = make_attempt_request(open_request, limit);
     if (state != 0) {
         attempt_request.state = state_name(state);
-        attempt_request.from = server_connections_->address(from);
+        attempt_request.state_address = server_connections_->address(from);
     } else {
         attempt_request.prompt = open_request.params.prompt;
     }
     const rpc::Id id{static_cast<std::int64_t>(attempt)};
-    server_connections_->send(to, attempt, rpc::order_line(id, rpc::kWrite, attempt_request), false);
-    if (log_.writes(Weight::debug))
-        log_.say(Weight::debug, "gateway", "launch to write",
+    server_connections_->send(to, attempt, rpc::attempt_request_line(id, rpc::kDecode, attempt_request),
+                              false);
+    if (log_.is_enabled(Severity::debug))
+        log_.log(Severity::debug, "gateway", "launch to write",
                  {{"query", attempt_request.query},
                   {"launch", static_cast<std::int64_t>(attempt)},
                   {"server", servers_.name(to)}});
 }
 
-void Gateway::call_off(AttemptId attempt, ServerIndex at) { server_connections_->call_off(at, attempt); }
+void Gateway::cancel_attempt(AttemptId attempt, ServerIndex at) {
+    server_connections_->cancel_attempt(at, attempt);
+}
 
 void Gateway::release(ServerIndex at, AttemptId state) {
     server_connections_->release(at, state_name(state));
@@ -473,30 +488,30 @@
 
 // ---- from servers
 
-void Gateway::attempt_ended(AttemptId attempt, const Outcome& outcome, double tokens,
+void Gateway::attempt_ended(AttemptId attempt, const AttemptOutcome& outcome, double tokens,
                             const std::string& text) {
     answer_tokens_ = tokens;
     answer_text_ = text;
     if (trace_) trace_->set_answer_tokens(tokens);
-    desk_->attempt_ended(attempt, outcome);
+    dispatcher_->attempt_ended(attempt, outcome);
 }
 
-void Gateway::token_came(AttemptId attempt, std::string_view text) {
-    QueryIndex query = 0;
-    if (!desk_->token_came(attempt, query)) return;
+void Gateway::token_received(AttemptId attempt, std::string_view text) {
+    RequestIndex query = 0;
+    if (!dispatcher_->token_received(attempt, query)) return;
     OpenRequest& open_request = open_requests_[query];
     open_request.tokens += 1;
     client_connections_->tokens(open_request.client, open_request.id, text);
 }
 
 void Gateway::probe_ended(ServerIndex server, bool answered, const LoadReport& report) {
-    desk_->probe_answered(server, answered, report);
+    dispatcher_->probe_answered(server, answered, report);
 }
 
 // ---- the server list
 
-void Gateway::list_told(const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale) {
-    std::vector<Listing> listings;
+void Gateway::list_received(const std::vector<rpc::RosterEntry>& entries, bool is_snapshot, bool stale) {
+    std::vector<ServerListing> listings;
     for (const rpc::RosterEntry& e : entries) {
         const std::uint32_t* kind = terms_.kinds.find(e.kind);
         const std::uint32_t* zone = terms_.zones.find(e.zone);
@@ -505,46 +520,46 @@
         if (error.empty() && !known) {
             try {
                 Address::parse(e.server);
-            } catch (const NetTrouble& exception) {
+            } catch (const NetworkError& exception) {
                 error = exception.what();
             }
         }
         if (!error.empty()) {
-            log_.say(Weight::error, "roster", "an entry of the list cannot be used; it is passed over",
+            log_.log(Severity::error, "roster", "an entry of the list cannot be used; it is passed over",
                      {{"server", e.server}, {"error", error}});
             continue;
         }
-        Listing listing;
-        listing.server = servers_.index(e.server);
-        listing.mark = mark(e.server);
+        ServerListing listing;
+        listing.server = servers_.intern(e.server);
+        listing.name_hash = hash_of(e.server);
         listing.kind = static_cast<std::uint16_t>(*kind);
         listing.zone = static_cast<std::uint16_t>(*zone);
-        listing.cell = cells_.index(e.zone + "/" + e.cell);
-        listing.born = {e.born_ms * 1000};
-        listing.standing = e.standing;
-        if (e.standing == Standing::gone)
+        listing.cell = cells_.intern(e.zone + "/" + e.cell);
+        listing.started_at = {e.started_at_ms * 1000};
+        listing.status = e.status;
+        if (e.status == ServerStatus::removed)
             server_connections_->remove_server(listing.server);
         else
             server_connections_->set_address(listing.server, e.server);
         listings.push_back(listing);
     }
-    log_.say(Weight::info, "roster",
+    log_.log(Severity::info, "roster",
              stale         ? "list of the last run"
              : is_snapshot ? "whole list"
                            : "changes",
              {{"entries", static_cast<std::int64_t>(listings.size())}});
     if (trace_)
-        trace_->record_event(trace::Happening::list, "",
+        trace_->record_event(trace::EventKind::server_list, "",
                              stale         ? "of the last run"
                              : is_snapshot ? "whole"
                                            : "changes",
                              static_cast<std::int64_t>(listings.size()));
-    desk_->list_arrived(listings, is_snapshot);
+    dispatcher_->list_arrived(listings, is_snapshot);
 }
 
 // ---- time
 
-void Gateway::wake_at(Instant at) { wakeup_timer_.set(at - loop_.now()); }
+void Gateway::schedule_wakeup(Instant at) { wakeup_timer_.set(at - loop_.now()); }
 
 void Gateway::log(std::string_view line) {
     // The router names servers by index; the log names them by address.
@@ -552,9 +567,9 @@
     const std::string text(line);
     if (std::sscanf(text.c_str(), "server %u is ", &index) == 1 && index < servers_.size()) {
         const std::size_t at = text.find(" is ");
-        log_.say(Weight::warn, "rules", "server" + text.substr(at), {{"server", servers_.name(index)}});
+        log_.log(Severity::warn, "rules", "server" + text.substr(at), {{"server", servers_.name(index)}});
     } else {
-        log_.say(Weight::warn, "rules", line);
+        log_.log(Severity::warn, "rules", line);
     }
 }
 
@@ -566,20 +581,20 @@
     stopping_ = true;
     stop_deadline_ = loop_.now() + terms_.bounds.shutdown_timeout;
     listeners_.clear();
-    log_.say(Weight::info, "gateway", "stopping; waiting for open requests to end",
-             {{"queries", static_cast<std::int64_t>(desk_->open_queries())}});
+    log_.log(Severity::info, "gateway", "stopping; waiting for open requests to end",
+             {{"queries", static_cast<std::int64_t>(dispatcher_->open_requests())}});
     continue_shutdown();
 }
 
 void Gateway::continue_shutdown() {
     if (ended_) return loop_.stop();
-    if (desk_->open_queries() > 0 && loop_.now() >= stop_deadline_) {
-        log_.say(Weight::warn, "gateway", "gives up what has not ended in time",
-                 {{"queries", static_cast<std::int64_t>(desk_->open_queries())}});
-        desk_->give_up_all("the gateway stops");
+    if (dispatcher_->open_requests() > 0 && loop_.now() >= stop_deadline_) {
+        log_.log(Severity::warn, "gateway", "gives up what has not ended in time",
+                 {{"queries", static_cast<std::int64_t>(dispatcher_->open_requests())}});
+        dispatcher_->abandon_all("the gateway stops");
     }
-    const bool has_work = desk_->open_queries() > 0 ||
-                          ((desk_->attempts_out() > 0 || server_connections_->owed_releases() > 0) &&
+    const bool has_work = dispatcher_->open_requests() > 0 ||
+                          ((dispatcher_->attempts_out() > 0 || server_connections_->owed_releases() > 0) &&
                            loop_.now() < stop_deadline_);
     if (has_work) {
         stop_timer_.set(kShutdownPollInterval);
@@ -587,13 +602,13 @@
     }
     client_connections_->close_all();
     roster_->stop();
-    const Tally& t = desk_->tally();
-    log_.say(Weight::info, "gateway", "stopped",
-             {{"came", static_cast<std::int64_t>(t.came)},
-              {"settled", static_cast<std::int64_t>(t.settled)},
-              {"declined", static_cast<std::int64_t>(t.declined)},
-              {"given_up", static_cast<std::int64_t>(t.given_up)},
-              {"left", static_cast<std::int64_t>(t.left)}});
+    const DispatcherCounters& t = dispatcher_->counters();
+    log_.log(Severity::info, "gateway", "stopped",
+             {{"came", static_cast<std::int64_t>(t.received)},
+              {"settled", static_cast<std::int64_t>(t.completed)},
+              {"declined", static_cast<std::int64_t>(t.rejected)},
+              {"given_up", static_cast<std::int64_t>(t.abandoned)},
+              {"left", static_cast<std::int64_t>(t.client_left)}});
     ended_ = true;
     stop_timer_.set(kFinalFlushTime);
 }
--- a/src/gateway/list_store.cpp
+++ b/src/gateway/list_store.cpp
@@ -41,33 +41,33 @@
     file_ = folder_ + "/servers.json";
 }
 
-std::optional<rpc::RosterNews> ServerListStore::read(std::string& error) {
+std::optional<rpc::RosterUpdate> ServerListStore::read(std::string& error) {
     if (file_.empty() || !std::filesystem::exists(file_)) return std::nullopt;
     std::string text;
-    std::vector<Fault> diagnostics;
-    const auto set_aside = [&](const std::string& reason) -> std::optional<rpc::RosterNews> {
+    std::vector<Diagnostic> diagnostics;
+    const auto set_aside = [&](const std::string& reason) -> std::optional<rpc::RosterUpdate> {
         const std::string damaged_file = file_ + ".damaged";
         std::rename(file_.c_str(), damaged_file.c_str());
         error = reason + "; set aside as " + damaged_file;
         return std::nullopt;
     };
-    if (!read_file(file_, kMaxFileBytes, text, diagnostics)) return set_aside(diagnostics.front().what);
+    if (!read_file(file_, kMaxFileBytes, text, diagnostics)) return set_aside(diagnostics.front().message);
     const rpc::Json document = rpc::Json::parse(text, nullptr, false);
-    if (!document.is_object() || rpc::number_at(document, "format") != kFormatVersion ||
+    if (!document.is_object() || rpc::number_or(document, "format") != kFormatVersion ||
         !document.contains("list"))
         return set_aside("not a list of servers of format 1");
-    const std::string checksum = std::to_string(mark(document["list"].dump()));
-    if (rpc::text_at(document, "sum") != checksum) return set_aside("its checksum does not match");
-    auto update = rpc::read_news(document["list"]);
+    const std::string checksum = std::to_string(hash_of(document["list"].dump()));
+    if (rpc::string_or(document, "sum") != checksum) return set_aside("its checksum does not match");
+    auto update = rpc::read_roster_update(document["list"]);
     if (const auto* problem = std::get_if<std::string>(&update)) return set_aside(*problem);
-    return std::get<rpc::RosterNews>(std::move(update));
+    return std::get<rpc::RosterUpdate>(std::move(update));
 }
 
-bool ServerListStore::write(const rpc::RosterNews& snapshot, std::string& error) {
+bool ServerListStore::write(const rpc::RosterUpdate& snapshot, std::string& error) {
     if (file_.empty()) return true;
-    const rpc::Json list = rpc::news_json(snapshot);
+    const rpc::Json list = rpc::roster_update_json(snapshot);
     const rpc::Json document = {
-        {"format", kFormatVersion}, {"sum", std::to_string(mark(list.dump()))}, {"list", list}};
+        {"format", kFormatVersion}, {"sum", std::to_string(hash_of(list.dump()))}, {"list", list}};
     const std::string new_file = file_ + ".new";
     const int fd = ::open(new_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0) {
--- a/src/gateway/list_store.h
+++ b/src/gateway/list_store.h
@@ -15,9 +15,9 @@
     explicit ServerListStore(std::string folder);
 
     // Returns nothing if no list is stored. A damaged file is renamed, and `error` says so.
-    std::optional<rpc::RosterNews> read(std::string& error);
+    std::optional<rpc::RosterUpdate> read(std::string& error);
     // Returns false, with the reason in `error`, if the list cannot be written.
-    bool write(const rpc::RosterNews& snapshot, std::string& error);
+    bool write(const rpc::RosterUpdate& snapshot, std::string& error);
 
   private:
     std::string folder_, file_;
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -22,13 +22,13 @@
     : on_note_(std::move(on_note)) {
     for (const std::string& peer : peers) peers_.push_back(Address::parse(peer));
     sockaddr_storage raw{};
-    const int length = listen_address.fill(&raw);
+    const int length = listen_address.fill_sockaddr(&raw);
     fd_ = ::socket(raw.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd_ < 0 ||
         ::bind(fd_, reinterpret_cast<const sockaddr*>(&raw), static_cast<socklen_t>(length)) != 0) {
         const std::string reason = std::strerror(errno);
         if (fd_ >= 0) ::close(fd_);
-        throw NetTrouble("cannot listen for peer notes on " + listen_address.text() + ": " + reason);
+        throw NetworkError("cannot listen for peer notes on " + listen_address.text() + ": " + reason);
     }
     event_ = event_new(loop.base(), fd_, EV_READ | EV_PERSIST, &PeerNotes::on_readable, this);
     event_add(event_, nullptr);
@@ -43,7 +43,7 @@
     sockaddr_storage raw{};
     socklen_t length = sizeof raw;
     ::getsockname(fd_, reinterpret_cast<sockaddr*>(&raw), &length);
-    return Address::of(reinterpret_cast<const sockaddr*>(&raw));
+    return Address::from_sockaddr(reinterpret_cast<const sockaddr*>(&raw));
 }
 
 // A note that cannot be sent is dropped; datagrams may be lost anyway.
@@ -51,7 +51,7 @@
     if (note.size() > kMaxNoteBytes) return;
     for (const Address& peer : peers_) {
         sockaddr_storage raw{};
-        const int length = peer.fill(&raw);
+        const int length = peer.fill_sockaddr(&raw);
         if (::sendto(fd_, note.data(), note.size(), 0, reinterpret_cast<const sockaddr*>(&raw),
                      static_cast<socklen_t>(length)) >= 0)
             ++counts_.sent;
@@ -68,7 +68,7 @@
         const ssize_t size =
             ::recvfrom(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&raw), &length);
         if (size < 0) return;
-        const std::string sender = Address::of(reinterpret_cast<const sockaddr*>(&raw)).text();
+        const std::string sender = Address::from_sockaddr(reinterpret_cast<const sockaddr*>(&raw)).text();
         bool known = false;
         for (const Address& peer : peers_) known |= peer.text() == sender;
         if (!known || static_cast<std::size_t>(size) > kMaxNoteBytes) {
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -17,7 +17,7 @@
 
 class PeerNotes {
   public:
-    // Throws NetTrouble if the address cannot be bound or an address cannot be parsed.
+    // Throws NetworkError if the address cannot be bound or an address cannot be parsed.
     PeerNotes(Loop& loop, const Address& listen_address, const std::vector<std::string>& peers,
               std::function<void(std::string_view)> on_note);
     ~PeerNotes();
