--- a/src/platform/list_reader.cpp
+++ b/src/platform/list_reader.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void ListReader::take(std::string_view bytes) {
+void ServerListReader::take(std::string_view bytes) {
     if (bytes_ == 0) update_.entries.reserve(bytes.size() / kTypicalEntryBytes);
     bytes_ += bytes.size();
     std::size_t entry_begin = 0;
@@ -43,7 +43,7 @@
     if (partial_entry_.size() > kMaxEntryBytes) throw BadInput("a list entry is too long");
 }
 
-bool ListReader::is_in_string(char byte) {
+bool ServerListReader::is_in_string(char byte) {
     if (!in_string_) {
         in_string_ = byte == '"';
         return in_string_;
@@ -58,24 +58,24 @@
     return true;
 }
 
-bool ListReader::follows_entries_key() const {
+bool ServerListReader::follows_entries_key() const {
     return envelope_.size() + 1 >= kEntriesKey.size() &&
            std::string_view(envelope_).substr(envelope_.size() + 1 - kEntriesKey.size()) ==
                kEntriesKey.substr(0, kEntriesKey.size() - 1);
 }
 
-void ListReader::open_container(char byte) {
+void ServerListReader::open_container(char byte) {
     if (depth_ == kRootDepth && byte == '[') in_entries_ = follows_entries_key();
     ++depth_;
 }
 
-void ListReader::close_container(char byte) {
+void ServerListReader::close_container(char byte) {
     if (depth_ == 0) throw BadInput("not JSON");
     --depth_;
     if (depth_ == kRootDepth && byte == ']') in_entries_ = false;
 }
 
-void ListReader::finish_entry(std::string_view last_piece) {
+void ServerListReader::finish_entry(std::string_view last_piece) {
     std::string earlier = std::exchange(partial_entry_, {});
     in_entry_ = false;
     if (!earlier.empty()) earlier.append(last_piece);
@@ -85,31 +85,31 @@
     append_to_envelope('0');
 }
 
-void ListReader::append_to_envelope(char byte) {
+void ServerListReader::append_to_envelope(char byte) {
     if (envelope_.size() >= kMaxEnvelopeBytes) throw BadInput("too much data beside the entries of the list");
     envelope_.push_back(byte);
 }
 
-std::vector<Entry> ListReader::take_withdrawn() {
-    std::vector<Entry> withdrawn;
+std::vector<ServerEntry> ServerListReader::take_withdrawn() {
+    std::vector<ServerEntry> withdrawn;
     for (; next_withdrawn_ < update_.entries.size(); ++next_withdrawn_) {
-        const Entry& entry = update_.entries[next_withdrawn_];
-        if (entry.standing != Standing::ready) withdrawn.push_back(entry);
+        const ServerEntry& entry = update_.entries[next_withdrawn_];
+        if (entry.status != ServerStatus::ready) withdrawn.push_back(entry);
     }
     return withdrawn;
 }
 
-News ListReader::finish() {
+ServerListUpdate ServerListReader::finish() {
     const Json envelope = Json::parse(std::exchange(envelope_, {}), nullptr, false);
     if (envelope.is_discarded()) throw BadInput("not JSON");
     if (!envelope.is_object()) throw BadInput("not an object: the list");
-    update_.index = whole(envelope, "index");
-    update_.whole = flag(envelope, "snapshot");
+    update_.index = required_unsigned(envelope, "index");
+    update_.is_snapshot = flag(envelope, "snapshot");
     // Each entry was replaced by a zero in the envelope.
-    if (list_or_empty(envelope, "endpoints").size() != update_.entries.size()) {
+    if (array_or_empty(envelope, "endpoints").size() != update_.entries.size()) {
         throw BadInput("not an object: endpoints");
     }
-    for (const Json& placeholder : list_or_empty(envelope, "endpoints")) {
+    for (const Json& placeholder : array_or_empty(envelope, "endpoints")) {
         if (!placeholder.is_number_integer() || placeholder != 0) throw BadInput("not an object: endpoints");
     }
     return std::exchange(update_, {});
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -11,16 +11,16 @@
 
 namespace copperfront::platform {
 
-class ListReader {
+class ServerListReader {
   public:
     // Parses the next bytes. Throws BadInput if they cannot be part of a list; take() may not be called after
     // that.
     void take(std::string_view bytes);
     // Returns the entries parsed since the last call whose servers are draining or removed. These are valid
     // whatever the rest of the list says.
-    std::vector<Entry> take_withdrawn();
+    std::vector<ServerEntry> take_withdrawn();
     // Call once all bytes have been taken. Throws BadInput if they are not a list.
-    News finish();
+    ServerListUpdate finish();
     // Number of bytes taken so far.
     std::size_t bytes() const { return bytes_; }
 
@@ -34,7 +34,7 @@
     void finish_entry(std::string_view last_piece);
     void append_to_envelope(char byte);
 
-    News update_;
+    ServerListUpdate update_;
     std::size_t bytes_ = 0;
     std::size_t next_withdrawn_ = 0;  // index of the next entry for take_withdrawn()
     int depth_ = 0;                   // nesting of objects and arrays
--- a/src/platform/node_terms.cpp
+++ b/src/platform/node_terms.cpp
@@ -18,7 +18,7 @@
     }
 }
 
-bool is_prefix(const Names& now, const Names& next) {
+bool is_prefix(const NameTable& now, const NameTable& next) {
     if (next.size() < now.size()) return false;
     for (std::uint32_t n = 0; n < now.size(); ++n)
         if (now.name(n) != next.name(n)) return false;
@@ -34,7 +34,7 @@
         throw BadInput("not JSON; expected one object with name, listen, discovery, settings");
     if (!file.is_object()) throw BadInput("not an object; expected name, listen, discovery, settings");
     const auto text_or_variable = [&](const char* key, const char* name) {
-        std::string value = text_or(file, key, "");
+        std::string value = string_or(file, key, "");
         if (value.empty()) value = environment(name);
         return value;
     };
@@ -43,24 +43,24 @@
     terms.listen = text_or_variable("listen", "ROUTER_LISTEN");
     terms.discovery = text_or_variable("discovery", "ROUTER_DISCOVERY");
     if (terms.listen.empty()) throw BadInput("listen: missing; expected an address and a port");
-    const std::string seed = text_or(file, "seed", "");
-    terms.seed = static_cast<std::uint32_t>(mark(seed));
+    const std::string seed = string_or(file, "seed", "");
+    terms.seed = static_cast<std::uint32_t>(hash_of(seed));
     const Json& limits = object_or_empty(file, "limits");
     with_context("limits", [&] {
         terms.memory_mb = number_or(limits, "memory_mb", 0);
         const double sockets = number_or(limits, "sockets", 0);
         if (!(sockets >= 0 && sockets <= kMaxDescriptors)) throw BadInput("out of bounds: sockets");
-        terms.sockets = static_cast<std::size_t>(sockets);
+        terms.max_descriptors = static_cast<std::size_t>(sockets);
         return 0;
     });
-    if (known_member.value != "null") terms.known = std::move(known_member.value);
+    if (known_member.value != "null") terms.known_list = std::move(known_member.value);
     // The member's name may be spelt with escapes, which extract_member() does not recognise.
-    if (const Json* known_json = field(file, "known")) terms.known = known_json->dump();
-    const Json& settings = needed(file, "settings");
+    if (const Json* known_json = field(file, "known")) terms.known_list = known_json->dump();
+    const Json& settings = required_field(file, "settings");
     if (!settings.is_object()) throw BadInput("not an object: settings");
     with_context("settings", [&] {
-        terms.core = read_terms(settings, terms.named);
-        terms.links = read_connection_settings(settings);
+        terms.core = read_terms(settings, terms.names);
+        terms.connection_settings = read_connection_settings(settings);
         return 0;
     });
     if (terms.core.kinds.empty())
@@ -69,26 +69,26 @@
     return terms;
 }
 
-News read_known_list(const NodeTerms& terms) {
-    if (terms.known.empty()) return {0, true, {}};
+ServerListUpdate read_known_list(const NodeTerms& terms) {
+    if (terms.known_list.empty()) return {0, true, {}};
     return with_context("known", [&] {
-        ListReader reader;
-        reader.take(terms.known);
-        News list = reader.finish();
-        list.whole = true;
+        ServerListReader reader;
+        reader.take(terms.known_list);
+        ServerListUpdate list = reader.finish();
+        list.is_snapshot = true;
         return list;
     });
 }
 
-std::string stands_against(const NodeTerms& now, const NodeTerms& next) {
-    if (!is_prefix(now.named.kinds, next.named.kinds)) return "settings: models may only be appended to";
-    if (!is_prefix(now.named.categories, next.named.categories))
+std::string reload_conflict(const NodeTerms& now, const NodeTerms& next) {
+    if (!is_prefix(now.names.kinds, next.names.kinds)) return "settings: models may only be appended to";
+    if (!is_prefix(now.names.categories, next.names.categories))
         return "settings: profiles may only be appended to";
-    if (!is_prefix(now.named.groups, next.named.groups)) return "settings: realms may only be appended to";
-    if (!is_prefix(now.named.zones, next.named.zones)) return "settings: azs may only be appended to";
+    if (!is_prefix(now.names.groups, next.names.groups)) return "settings: realms may only be appended to";
+    if (!is_prefix(now.names.zones, next.names.zones)) return "settings: azs may only be appended to";
     for (std::uint32_t k = 0; k < now.core.kinds.size(); ++k)
         if (now.core.kinds[k].role != next.core.kinds[k].role)
-            return "settings: the role of " + now.named.kinds.name(k) + " cannot change";
+            return "settings: the role of " + now.names.kinds.name(k) + " cannot change";
     return "";
 }
 
--- a/src/platform/node_terms.h
+++ b/src/platform/node_terms.h
@@ -14,12 +14,12 @@
 struct NodeTerms {
     std::string name, listen, discovery;
     std::uint32_t seed = 0;
-    double memory_mb = 0;     // 0: unlimited
-    std::size_t sockets = 0;  // maximum number of descriptors; 0: not configured
-    std::string known;        // text of the server list this gateway last received; empty: none
+    double memory_mb = 0;             // 0: unlimited
+    std::size_t max_descriptors = 0;  // maximum number of descriptors; 0: not configured
+    std::string known_list;           // text of the server list this gateway last received; empty: none
     Terms core;
-    Named named;
-    ConnectionSettings links;
+    SettingNames names;
+    ConnectionSettings connection_settings;
 };
 
 // Returns the value of an environment variable; empty if it is not set.
@@ -30,10 +30,10 @@
 
 // Parses the file's server list as a snapshot. Separate from read_node_terms(), as the list may be long and a
 // running gateway already has a newer one. Throws BadInput.
-News read_known_list(const NodeTerms& terms);
+ServerListUpdate read_known_list(const NodeTerms& terms);
 
 // Checks whether requests in progress under `now` can continue under `next`: indices already in use must keep
 // their meaning. Returns an empty string, or the reason why they cannot.
-std::string stands_against(const NodeTerms& now, const NodeTerms& next);
+std::string reload_conflict(const NodeTerms& now, const NodeTerms& next);
 
 }  // namespace copperfront::platform
--- a/src/platform/registry.cpp
+++ b/src/platform/registry.cpp
@@ -10,22 +10,22 @@
 constexpr std::size_t kMaxNameBytes = 256;
 
 std::string required_name(const Json& entry, const char* key) {
-    std::string name = text(entry, key);
+    std::string name = required_string(entry, key);
     if (name.empty() || name.size() > kMaxNameBytes) throw BadInput(std::string("empty or too long: ") + key);
     return name;
 }
 
 struct StatusName {
     std::string_view name;
-    Standing standing;
+    ServerStatus status;
 };
 constexpr std::array<StatusName, 3> kStatusNames{
-    {{"up", Standing::ready}, {"draining", Standing::draining}, {"removed", Standing::gone}}};
+    {{"up", ServerStatus::ready}, {"draining", ServerStatus::draining}, {"removed", ServerStatus::removed}}};
 
-bool parse_status(std::string_view status, Standing& standing) {
+bool parse_status(std::string_view text, ServerStatus& status) {
     for (const StatusName& candidate : kStatusNames) {
-        if (candidate.name != status) continue;
-        standing = candidate.standing;
+        if (candidate.name != text) continue;
+        status = candidate.status;
         return true;
     }
     return false;
@@ -36,10 +36,10 @@
 class FlatEntryParser : public nlohmann::json_sax<Json> {
   public:
     // Returns false if the entry is not in the flat form.
-    bool parse(std::string_view text, Entry& entry) {
+    bool parse(std::string_view text, ServerEntry& entry) {
         entry_ = &entry;
         return Json::sax_parse(text, this) && has_name_ && has_status_ &&
-               (has_address_ || entry.standing == Standing::gone);
+               (has_address_ || entry.status == ServerStatus::removed);
     }
 
     bool null() override { return false; }
@@ -47,7 +47,7 @@
     bool number_integer(number_integer_t) override { return field_ == Field::other; }
     bool number_unsigned(number_unsigned_t value) override {
         if (field_ == Field::group) entry_->cell = std::to_string(value);
-        if (field_ == Field::since) entry_->born = {micros(static_cast<double>(value))};
+        if (field_ == Field::since) entry_->started_at = {us_from_ms(static_cast<double>(value))};
         return field_ == Field::group || field_ == Field::since || field_ == Field::other;
     }
     bool number_float(number_float_t, const string_t&) override { return field_ == Field::other; }
@@ -67,7 +67,7 @@
                 entry_->cell = std::move(value);
                 return true;
             case Field::status:
-                return !std::exchange(has_status_, true) && parse_status(value, entry_->standing);
+                return !std::exchange(has_status_, true) && parse_status(value, entry_->status);
             case Field::since:
                 return false;
             case Field::other:
@@ -111,35 +111,35 @@
         return !std::exchange(is_set, true);
     }
 
-    Entry* entry_ = nullptr;
+    ServerEntry* entry_ = nullptr;
     Field field_ = Field::other;
     bool started_ = false, has_name_ = false, has_address_ = false, has_status_ = false;
 };
 
 }  // namespace
 
-Entry read_entry_text(std::string_view text) {
-    Entry entry;
+ServerEntry read_entry_text(std::string_view text) {
+    ServerEntry entry;
     if (FlatEntryParser().parse(text, entry)) return entry;
     const Json json = Json::parse(text, nullptr, false);
     if (json.is_discarded()) throw BadInput("not JSON");
     return read_entry(json);
 }
 
-Entry read_entry(const Json& json) {
+ServerEntry read_entry(const Json& json) {
     if (!json.is_object()) throw BadInput("not an object: endpoints");
-    Entry entry;
+    ServerEntry entry;
     entry.name = required_name(json, "name");
-    entry.kind = text_or(json, "type", "");
-    entry.zone = text_or(json, "zone", "");
+    entry.kind = string_or(json, "type", "");
+    entry.zone = string_or(json, "zone", "");
     const Json* group = field(json, "group");
     entry.cell = !group ? "" : group->is_string() ? group->get<std::string>() : group->dump();
-    const std::string status = text(json, "status");
-    if (!parse_status(status, entry.standing)) throw BadInput("unknown status: " + status);
+    const std::string status = required_string(json, "status");
+    if (!parse_status(status, entry.status)) throw BadInput("unknown status: " + status);
     // A removed server needs nothing but its name.
-    entry.address =
-        entry.standing == Standing::gone ? text_or(json, "address", "") : required_name(json, "address");
-    entry.born = {micros(number_or(json, "since_ms", 0))};
+    entry.address = entry.status == ServerStatus::removed ? string_or(json, "address", "")
+                                                          : required_name(json, "address");
+    entry.started_at = {us_from_ms(number_or(json, "since_ms", 0))};
     return entry;
 }
 
@@ -147,12 +147,12 @@
     if (entries > kMaxEntries) throw BadInput("too many endpoints");
 }
 
-News read_server_list(const Json& json) {
+ServerListUpdate read_server_list(const Json& json) {
     if (!json.is_object()) throw BadInput("not an object: the list");
-    News update;
-    update.index = whole(json, "index");
-    update.whole = flag(json, "snapshot");
-    const Json& entries = list_or_empty(json, "endpoints");
+    ServerListUpdate update;
+    update.index = required_unsigned(json, "index");
+    update.is_snapshot = flag(json, "snapshot");
+    const Json& entries = array_or_empty(json, "endpoints");
     check_entry_count(entries.size());
     update.entries.reserve(entries.size());
     for (const Json& e : entries) update.entries.push_back(read_entry(e));
--- a/src/platform/registry.h
+++ b/src/platform/registry.h
@@ -11,22 +11,22 @@
 
 namespace copperfront::platform {
 
-struct Entry {
+struct ServerEntry {
     std::string name, address, zone, kind, cell;
-    Standing standing = Standing::ready;
-    Instant born;  // start of the server by the wall clock; 0: long ago
+    ServerStatus status = ServerStatus::ready;
+    Instant started_at;  // start of the server by the wall clock; 0: long ago
 };
 
-struct News {
+struct ServerListUpdate {
     std::uint64_t index = 0;
-    bool whole = false;
-    std::vector<Entry> entries;
+    bool is_snapshot = false;
+    std::vector<ServerEntry> entries;
 };
 
 // Throws BadInput, also if a single entry is invalid: an incomplete list must not be used.
-News read_server_list(const Json& json);
-Entry read_entry(const Json& entry);
-Entry read_entry_text(std::string_view entry);
+ServerListUpdate read_server_list(const Json& json);
+ServerEntry read_entry(const Json& entry);
+ServerEntry read_entry_text(std::string_view entry);
 // Throws BadInput if a list may not have that many entries.
 void check_entry_count(std::size_t entries);
 
--- a/src/platform/settings.h
+++ b/src/platform/settings.h
@@ -9,18 +9,18 @@
 namespace copperfront::platform {
 
 // Names used in the settings, in the order of their indices.
-struct Named {
-    Names zones, kinds, categories, groups;
+struct SettingNames {
+    NameTable zones, kinds, categories, groups;
 };
 
 // Throws BadInput. New names are added to `names`; known ones keep their indices.
-Terms read_terms(const Json& settings, Named& names);
+Terms read_terms(const Json& settings, SettingNames& names);
 
 // Settings that concern only connections. 0: not configured.
 struct ConnectionSettings {
-    Span idle;  // a server closes a connection that has been idle for this long
+    Duration idle_timeout;  // a server closes a connection that has been idle for this long
     double max_waiting = 0;
-    Span longest_deadline;  // longest of all categories
+    Duration longest_deadline;  // longest of all categories
 };
 ConnectionSettings read_connection_settings(const Json& settings);
 
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -29,7 +29,7 @@
 
 void Recorder::note(std::string_view event, Json fields) {
     if (fd_ < 0 || write_failed_) return;
-    fields["t"] = machine_clock_us();
+    fields["t"] = monotonic_clock_us();
     fields["e"] = event;
     const std::string line = fields.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
     // After a record that cannot be written the file ends; the missing end mark shows it.
--- a/src/routes/route_table.cpp
+++ b/src/routes/route_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool has_prompt_range(const RouteMatch& route) {
-    return route.prompt_over > 0 || route.prompt_under < kNoLimit;
+    return route.min_prompt_tokens > 0 || route.prompt_limit_tokens < kNoLimit;
 }
 
 // Bits of a condition mask: which conditions a route has.
@@ -15,35 +15,37 @@
 
 }  // namespace
 
-bool matches(const RouteMatch& route, const RouteQuery& request) {
+bool matches(const RouteMatch& route, const RouteRequest& request) {
     if (route.category != kAny && route.category != request.category) return false;
     if (route.client_group != kAny && route.client_group != request.client_group) return false;
     if (route.listener != kAny && route.listener != request.listener) return false;
-    if (request.prompt_tokens < route.prompt_over || request.prompt_tokens >= route.prompt_under)
+    if (request.prompt_tokens < route.min_prompt_tokens || request.prompt_tokens >= route.prompt_limit_tokens)
         return false;
     return std::includes(request.attributes.begin(), request.attributes.end(), route.attributes.begin(),
                          route.attributes.end());
 }
 
-int conditions(const RouteMatch& route) {
+int condition_count(const RouteMatch& route) {
     return (route.category != kAny) + (route.client_group != kAny) + (route.listener != kAny) +
            static_cast<int>(route.attributes.size()) + has_prompt_range(route);
 }
 
 bool takes_precedence(const RouteMatch& a, const RouteMatch& b) {
-    if (conditions(a) != conditions(b)) return conditions(a) > conditions(b);
+    if (condition_count(a) != condition_count(b)) return condition_count(a) > condition_count(b);
     if ((a.category != kAny) != (b.category != kAny)) return a.category != kAny;
     if ((a.client_group != kAny) != (b.client_group != kAny)) return a.client_group != kAny;
     if ((a.listener != kAny) != (b.listener != kAny)) return a.listener != kAny;
     if (a.attributes.size() != b.attributes.size()) return a.attributes.size() > b.attributes.size();
-    const double width_a = a.prompt_under - a.prompt_over, width_b = b.prompt_under - b.prompt_over;
+    const double width_a = a.prompt_limit_tokens - a.min_prompt_tokens,
+                 width_b = b.prompt_limit_tokens - b.min_prompt_tokens;
     if (width_a != width_b) return width_a < width_b;
     return true;  // a comes first in the file
 }
 
 bool has_same_conditions(const RouteMatch& a, const RouteMatch& b) {
     return a.category == b.category && a.client_group == b.client_group && a.listener == b.listener &&
-           a.attributes == b.attributes && a.prompt_over == b.prompt_over && a.prompt_under == b.prompt_under;
+           a.attributes == b.attributes && a.min_prompt_tokens == b.min_prompt_tokens &&
+           a.prompt_limit_tokens == b.prompt_limit_tokens;
 }
 
 std::size_t RouteTable::IndexKeyHash::operator()(const IndexKey& key) const {
@@ -79,7 +81,7 @@
     }
 }
 
-std::uint32_t RouteTable::find(const RouteQuery& request) const {
+std::uint32_t RouteTable::find(const RouteRequest& request) const {
     std::uint32_t best = kAny;
     const auto search = [&](const IndexKey& key) {
         const auto it = index_.find(key);
@@ -108,14 +110,14 @@
     return best;
 }
 
-std::uint32_t RouteTable::scan(const RouteQuery& request) const {
+std::uint32_t RouteTable::scan(const RouteRequest& request) const {
     std::uint32_t best = kAny;
     for (std::uint32_t index = 0; index < routes_.size(); ++index)
         if (matches(routes_[index], request) && (best == kAny || rank_[index] < rank_[best])) best = index;
     return best;
 }
 
-std::vector<std::uint32_t> RouteTable::all_that_fit(const RouteQuery& request) const {
+std::vector<std::uint32_t> RouteTable::all_matches(const RouteRequest& request) const {
     std::vector<std::uint32_t> matching;
     for (std::uint32_t index = 0; index < routes_.size(); ++index)
         if (matches(routes_[index], request)) matching.push_back(index);
--- a/src/routes/route_table.h
+++ b/src/routes/route_table.h
@@ -21,23 +21,24 @@
 // Conditions of a route; kAny, no attributes and the widest range match every request.
 struct RouteMatch {
     std::uint32_t category = kAny, client_group = kAny, listener = kAny;
-    std::vector<std::uint32_t> attributes;            // all are required; sorted
-    double prompt_over = 0, prompt_under = kNoLimit;  // tokens; range [prompt_over, prompt_under)
+    std::vector<std::uint32_t> attributes;  // all are required; sorted
+    double min_prompt_tokens = 0,
+           prompt_limit_tokens = kNoLimit;  // tokens; range [min_prompt_tokens, prompt_limit_tokens)
 };
 
 // What is known about a request when it arrives.
-struct RouteQuery {
+struct RouteRequest {
     std::uint32_t category = kAny, client_group = kAny, listener = kAny;
     std::vector<std::uint32_t> attributes;  // sorted
     double prompt_tokens = 0;
 };
 
-bool matches(const RouteMatch& route, const RouteQuery& request);
+bool matches(const RouteMatch& route, const RouteRequest& request);
 // Whether `a` takes precedence over `b`, which comes later in the file.
 bool takes_precedence(const RouteMatch& a, const RouteMatch& b);
 // Whether both have the same conditions, so that the later one can never be taken.
 bool has_same_conditions(const RouteMatch& a, const RouteMatch& b);
-int conditions(const RouteMatch& route);
+int condition_count(const RouteMatch& route);
 
 class RouteTable {
   public:
@@ -46,11 +47,11 @@
     explicit RouteTable(std::vector<RouteMatch> routes);
 
     // Returns the matching route with the highest precedence; kAny: none matches.
-    std::uint32_t find(const RouteQuery& request) const;
+    std::uint32_t find(const RouteRequest& request) const;
     // The same by a linear scan of all routes: the reference for benchmarks and tests of the index.
-    std::uint32_t scan(const RouteQuery& request) const;
+    std::uint32_t scan(const RouteRequest& request) const;
     // All matching routes, in order of precedence.
-    std::vector<std::uint32_t> all_that_fit(const RouteQuery& request) const;
+    std::vector<std::uint32_t> all_matches(const RouteRequest& request) const;
     const RouteMatch& at(std::uint32_t index) const { return routes_[index]; }
     std::size_t size() const { return routes_.size(); }
 
--- a/src/rpc/message.cpp
+++ b/src/rpc/message.cpp
@@ -50,27 +50,28 @@
 
 }  // namespace
 
-std::variant<Message, BadMessage> parse(std::string_view line) {
+std::variant<Message, InvalidMessage> parse(std::string_view line) {
     if (too_deep(line))
-        return BadMessage{kParseError, "more than " + std::to_string(kMaxDepth) + " levels of nesting", {}};
+        return InvalidMessage{
+            kParseError, "more than " + std::to_string(kMaxDepth) + " levels of nesting", {}};
     Json value = Json::parse(line, nullptr, false);
-    if (value.is_discarded()) return BadMessage{kParseError, "the line is not JSON", {}};
+    if (value.is_discarded()) return InvalidMessage{kParseError, "the line is not JSON", {}};
     if (value.is_array())
-        return BadMessage{kInvalidRequest, "batches are not taken; send one message a line", {}};
-    if (!value.is_object()) return BadMessage{kInvalidRequest, "not an object", {}};
+        return InvalidMessage{kInvalidRequest, "batches are not taken; send one message a line", {}};
+    if (!value.is_object()) return InvalidMessage{kInvalidRequest, "not an object", {}};
 
     Message m;
     const auto id = value.find("id");
     if (id != value.end() && !read_id(*id, m.id))
-        return BadMessage{kInvalidRequest, "id: expected a whole number, or text of up to 128 bytes", {}};
-    const auto invalid = [&](const char* what) { return BadMessage{kInvalidRequest, what, m.id}; };
+        return InvalidMessage{kInvalidRequest, "id: expected a whole number, or text of up to 128 bytes", {}};
+    const auto invalid = [&](const char* what) { return InvalidMessage{kInvalidRequest, what, m.id}; };
     const auto version = value.find("jsonrpc");
     if (version == value.end() || *version != "2.0") return invalid("jsonrpc: expected \"2.0\"");
     if (const auto method = value.find("method"); method != value.end()) {
         if (!method->is_string()) return invalid("method: expected text");
         m.method = method->get<std::string>();
-        m.sort = id == value.end() ? Sort::notice : Sort::call;
-        if (m.sort == Sort::call && std::holds_alternative<std::monostate>(m.id))
+        m.kind = id == value.end() ? MessageKind::notification : MessageKind::request;
+        if (m.kind == MessageKind::request && std::holds_alternative<std::monostate>(m.id))
             return invalid("id: a call needs one that is not null");
         if (const auto params = value.find("params"); params != value.end()) {
             if (!params->is_object()) return invalid("params: expected an object");
@@ -83,7 +84,7 @@
     if (id == value.end()) return invalid("neither a method nor an id");
     if (const auto body = value.find("result"); body != value.end()) {
         if (value.contains("error")) return invalid("both a result and an error");
-        m.sort = Sort::result;
+        m.kind = MessageKind::result;
         m.body = std::move(*body);
         return m;
     }
@@ -93,7 +94,7 @@
     const auto code = error_object->find("code");
     if (code == error_object->end() || !code->is_number_integer())
         return invalid("error.code: expected a whole number");
-    m.sort = Sort::error;
+    m.kind = MessageKind::error;
     m.code = code->get<int>();
     if (const auto text = error_object->find("message"); text != error_object->end() && text->is_string())
         m.text = text->get<std::string>();
@@ -123,25 +124,25 @@
     return out;
 }
 
-std::string call(const Id& id, std::string_view method, const Json& params) {
+std::string request_line(const Id& id, std::string_view method, const Json& params) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) + ",\"method\":\"";
     out += method;
     out += "\",\"params\":" + dump_json(params) + "}";
     return out;
 }
 
-std::string notice(std::string_view method, const Json& params) {
+std::string notification_line(std::string_view method, const Json& params) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"method\":\"";
     out += method;
     out += "\",\"params\":" + dump_json(params) + "}";
     return out;
 }
 
-std::string result(const Id& id, const Json& body) {
+std::string result_line(const Id& id, const Json& body) {
     return "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) + ",\"result\":" + dump_json(body) + "}";
 }
 
-std::string error(const Id& id, int code, std::string_view text, const Json& data) {
+std::string error_line(const Id& id, int code, std::string_view text, const Json& data) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + text_of(id) +
                       ",\"error\":{\"code\":" + std::to_string(code) + ",\"message\":";
     append_quoted(out, text);
--- a/src/rpc/message.h
+++ b/src/rpc/message.h
@@ -20,10 +20,10 @@
 inline constexpr int kInvalidParams = -32602;
 inline constexpr int kInternalError = -32603;
 
-enum class Sort { call, notice, result, error };
+enum class MessageKind { request, notification, result, error };
 
 struct Message {
-    Sort sort = Sort::notice;
+    MessageKind kind = MessageKind::notification;
     Id id;
     std::string method;  // of a request or a notification
     Json body;           // params, result, or the data of an error
@@ -32,7 +32,7 @@
 };
 
 // The error to return for a line that is not a valid message.
-struct BadMessage {
+struct InvalidMessage {
     int code = kParseError;
     std::string text;
     Id id;  // the id of the message, if it could be read
@@ -40,12 +40,12 @@
 
 // Accepts any bytes; never throws. The nesting depth is bounded, so that a line of brackets cannot exhaust
 // the stack.
-std::variant<Message, BadMessage> parse(std::string_view line);
+std::variant<Message, InvalidMessage> parse(std::string_view line);
 
-std::string call(const Id& id, std::string_view method, const Json& params);
-std::string notice(std::string_view method, const Json& params);
-std::string result(const Id& id, const Json& body);
-std::string error(const Id& id, int code, std::string_view text, const Json& data = nullptr);
+std::string request_line(const Id& id, std::string_view method, const Json& params);
+std::string notification_line(std::string_view method, const Json& params);
+std::string result_line(const Id& id, const Json& body);
+std::string error_line(const Id& id, int code, std::string_view text, const Json& data = nullptr);
 
 // An id as JSON text; also used in log lines and messages.
 std::string text_of(const Id& id);
--- a/src/rpc/wire.cpp
+++ b/src/rpc/wire.cpp
@@ -33,7 +33,7 @@
         if (!(amount >= min && amount <= max)) return fail(name, "out of range"), 0;
         return amount;
     }
-    Span duration(const char* name, bool required) {
+    Duration duration(const char* name, bool required) {
         return {std::llround(number(name, required, 0, kMaxDurationMs) * 1000)};
     }
     bool flag(const char* name) {
@@ -78,40 +78,40 @@
 }
 
 void add_load_report(Json& body, const LoadReport& report) {
-    if (const Json load = report_json(report); !load.empty()) body["load"] = load;
+    if (const Json load = load_report_json(report); !load.empty()) body["load"] = load;
 }
 
-const char* status_text(Standing status) {
-    return status == Standing::ready ? "ready" : status == Standing::draining ? "draining" : "gone";
+const char* status_text(ServerStatus status) {
+    return status == ServerStatus::ready ? "ready" : status == ServerStatus::draining ? "draining" : "gone";
 }
 
 }  // namespace
 
-std::string text_at(const Json& object, const char* name, const std::string& fallback) {
+std::string string_or(const Json& object, const char* name, const std::string& fallback) {
     if (!object.is_object()) return fallback;
     const auto it = object.find(name);
     return it != object.end() && it->is_string() ? it->get<std::string>() : fallback;
 }
 
-double number_at(const Json& object, const char* name, double fallback) {
+double number_or(const Json& object, const char* name, double fallback) {
     if (!object.is_object()) return fallback;
     const auto it = object.find(name);
     return it != object.end() && it->is_number() ? it->get<double>() : fallback;
 }
 
-std::variant<Ask, std::string> read_ask(const Json& params) {
+std::variant<GenerateRequest, std::string> read_generate_request(const Json& params) {
     FieldReader fields(params);
-    Ask request;
+    GenerateRequest request;
     request.category = fields.text("category", true);
     request.client_group = fields.text("clientGroup", false);
     request.session = fields.text("session", false);
-    request.beginning = fields.text("beginning", false);
-    request.mark = fields.text("mark", false);
-    request.budget = fields.duration("budgetMs", true);
-    request.hint = fields.duration("hintMs", false);
-    request.most_tokens = fields.number("maxTokens", true, 1, kMaxTokens);
-    request.beginning_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
-    request.again = fields.flag("again");
+    request.shared_prefix = fields.text("beginning", false);
+    request.idempotency_key = fields.text("mark", false);
+    request.time_budget = fields.duration("budgetMs", true);
+    request.duration_hint = fields.duration("hintMs", false);
+    request.max_output_tokens = fields.number("maxTokens", true, 1, kMaxTokens);
+    request.shared_prefix_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
+    request.is_repeat = fields.flag("again");
     if (const Json* attributes = fields.find("attributes", false)) {
         if (!attributes->is_object() || attributes->size() > kMaxAttributes) {
             fields.fail("attributes",
@@ -150,10 +150,10 @@
     }
     if (fields.problem().empty() && request.prompt_tokens < 1)
         fields.fail("prompt", "its parts hold no tokens");
-    if (request.budget.us <= 0) fields.fail("budgetMs", "expected more than 0");
-    if (request.beginning_tokens > request.prompt_tokens)
+    if (request.time_budget.us <= 0) fields.fail("budgetMs", "expected more than 0");
+    if (request.shared_prefix_tokens > request.prompt_tokens)
         fields.fail("beginningTokens", "more than the tokens of all parts of the prompt");
-    if (request.beginning_tokens > 0 && request.beginning.empty())
+    if (request.shared_prefix_tokens > 0 && request.shared_prefix.empty())
         fields.fail("beginning", "is missing, but has tokens");
     if (!fields.problem().empty()) {
         std::string what = fields.problem();
@@ -163,26 +163,26 @@
     return request;
 }
 
-std::string ask_line(const Id& id, const Ask& request) {
+std::string generate_request_line(const Id& id, const GenerateRequest& request) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + rpc::text_of(id) +
                       ",\"method\":\"generate\",\"params\":{\"prompt\":" +
                       (request.prompt.empty() ? std::string("[]") : request.prompt);
     append_field(out, "category", request.category);
     append_field(out, "clientGroup", request.client_group);
     append_field(out, "session", request.session);
-    append_field(out, "beginning", request.beginning);
-    append_field(out, "mark", request.mark);
-    append_field(out, "budgetMs", request.budget.ms());
-    append_field(out, "hintMs", request.hint.ms());
-    append_field(out, "maxTokens", request.most_tokens);
-    append_field(out, "beginningTokens", request.beginning_tokens);
+    append_field(out, "beginning", request.shared_prefix);
+    append_field(out, "mark", request.idempotency_key);
+    append_field(out, "budgetMs", request.time_budget.ms());
+    append_field(out, "hintMs", request.duration_hint.ms());
+    append_field(out, "maxTokens", request.max_output_tokens);
+    append_field(out, "beginningTokens", request.shared_prefix_tokens);
     if (!request.attributes.empty()) {
         Json attributes = Json::object();
         for (const std::string& attribute : request.attributes)
             attributes[attribute.substr(0, attribute.find('='))] = attribute.substr(attribute.find('=') + 1);
         out += ",\"attributes\":" + attributes.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
-    if (request.again) out += ",\"again\":true";
+    if (request.is_repeat) out += ",\"again\":true";
     out += "}}";
     return out;
 }
@@ -217,33 +217,33 @@
     return tokens;
 }
 
-std::string settled_line(const Id& id, double tokens) {
-    return result(id, {{"tokens", tokens}, {"stopReason", "endTurn"}});
+std::string completed_line(const Id& id, double tokens) {
+    return result_line(id, {{"tokens", tokens}, {"stopReason", "endTurn"}});
 }
 
-std::string declined_line(const Id& id, std::string_view why, Span retry_after) {
+std::string rejected_line(const Id& id, std::string_view why, Duration retry_after) {
     Json data = {{"reason", why}};
     if (retry_after.us > 0) data["stayAwayMs"] = retry_after.ms();
-    return error(id, kDeclined, "declined", data);
+    return error_line(id, kRejected, "declined", data);
 }
 
-std::string given_up_line(const Id& id, std::string_view why) {
-    return error(id, kGivenUp, "given up", {{"reason", why}});
+std::string abandoned_line(const Id& id, std::string_view why) {
+    return error_line(id, kAbandoned, "given up", {{"reason", why}});
 }
 
-std::variant<Order, std::string> read_order(const Json& params) {
+std::variant<AttemptRequest, std::string> read_attempt_request(const Json& params) {
     FieldReader fields(params);
-    Order attempt_request;
+    AttemptRequest attempt_request;
     attempt_request.query = fields.text("query", true);
     attempt_request.state = fields.text("state", false);
-    attempt_request.from = fields.text("from", false);
+    attempt_request.state_address = fields.text("from", false);
     attempt_request.category = fields.text("category", false);
     attempt_request.session = fields.text("session", false);
-    attempt_request.beginning = fields.text("beginning", false);
-    attempt_request.mark = fields.text("mark", false);
+    attempt_request.shared_prefix = fields.text("beginning", false);
+    attempt_request.idempotency_key = fields.text("mark", false);
     attempt_request.prompt_tokens = fields.number("promptTokens", false, 0, kMaxTokens);
-    attempt_request.beginning_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
-    attempt_request.most_tokens = fields.number("maxTokens", false, 0, kMaxTokens);
+    attempt_request.shared_prefix_tokens = fields.number("beginningTokens", false, 0, kMaxTokens);
+    attempt_request.max_output_tokens = fields.number("maxTokens", false, 0, kMaxTokens);
     attempt_request.limit = fields.duration("limitMs", false);
     if (const Json* stream = fields.find("stream", false); stream && *stream == false)
         attempt_request.stream = false;
@@ -251,20 +251,21 @@
     return attempt_request;
 }
 
-std::string order_line(const Id& id, std::string_view method, const Order& attempt_request) {
+std::string attempt_request_line(const Id& id, std::string_view method,
+                                 const AttemptRequest& attempt_request) {
     std::string out = "{\"jsonrpc\":\"2.0\",\"id\":" + rpc::text_of(id) + ",\"method\":\"";
     out += method;
     out += "\",\"params\":{\"query\":";
     append_quoted(out, attempt_request.query);
     append_field(out, "state", attempt_request.state);
-    append_field(out, "from", attempt_request.from);
+    append_field(out, "from", attempt_request.state_address);
     append_field(out, "category", attempt_request.category);
     append_field(out, "session", attempt_request.session);
-    append_field(out, "beginning", attempt_request.beginning);
-    append_field(out, "mark", attempt_request.mark);
+    append_field(out, "beginning", attempt_request.shared_prefix);
+    append_field(out, "mark", attempt_request.idempotency_key);
     append_field(out, "promptTokens", attempt_request.prompt_tokens);
-    append_field(out, "beginningTokens", attempt_request.beginning_tokens);
-    append_field(out, "maxTokens", attempt_request.most_tokens);
+    append_field(out, "beginningTokens", attempt_request.shared_prefix_tokens);
+    append_field(out, "maxTokens", attempt_request.max_output_tokens);
     append_field(out, "limitMs", attempt_request.limit.ms());
     if (!attempt_request.stream) out += ",\"stream\":false";
     if (!attempt_request.prompt.empty()) out += ",\"prompt\":" + attempt_request.prompt;
@@ -272,7 +273,7 @@
     return out;
 }
 
-std::string release_line(std::string_view state) { return notice(kRelease, {{"state", state}}); }
+std::string release_line(std::string_view state) { return notification_line(kRelease, {{"state", state}}); }
 
 std::string cancelled_line(const Id& id, std::string_view why) {
     std::string out =
@@ -283,70 +284,70 @@
     return out;
 }
 
-LoadReport read_report(const Json& object) {
+LoadReport read_load_report(const Json& object) {
     LoadReport report;
     if (!object.is_object()) return report;
     const auto it = object.find("load");
     if (it == object.end()) return report;
-    report.memory_share = number_at(*it, "memoryShare", -1);
-    report.unread_thousands = number_at(*it, "unreadThousands", -1);
+    report.memory_share = number_or(*it, "memoryShare", -1);
+    report.queued_kilotokens = number_or(*it, "unreadThousands", -1);
     return report;
 }
 
-Json report_json(const LoadReport& report) {
+Json load_report_json(const LoadReport& report) {
     Json out = Json::object();
     if (report.memory_share >= 0) out["memoryShare"] = report.memory_share;
-    if (report.unread_thousands >= 0) out["unreadThousands"] = report.unread_thousands;
+    if (report.queued_kilotokens >= 0) out["unreadThousands"] = report.queued_kilotokens;
     return out;
 }
 
-Outcome read_outcome(const Message& answer, bool is_prefill) {
-    Outcome outcome;
-    outcome.report = read_report(answer.body);
-    if (answer.sort == Sort::result) {
+AttemptOutcome read_outcome(const Message& answer, bool is_prefill) {
+    AttemptOutcome outcome;
+    outcome.report = read_load_report(answer.body);
+    if (answer.kind == MessageKind::result) {
         // A result without its required field counts as an error: the attempt may or may not have run.
-        if (!answer.body.is_object() || number_at(answer.body, is_prefill ? "kept" : "tokens", -1) < 0)
+        if (!answer.body.is_object() || number_or(answer.body, is_prefill ? "kept" : "tokens", -1) < 0)
             return outcome;
-        outcome.ending = is_prefill ? Ending::read : Ending::settled;
-        outcome.kept_tokens = std::max(0.0, number_at(answer.body, "kept"));
+        outcome.ending = is_prefill ? Ending::prefilled : Ending::completed;
+        outcome.cached_tokens = std::max(0.0, number_or(answer.body, "kept"));
         return outcome;
     }
-    if (answer.code == kFull) {
-        outcome.ending = Ending::full;
+    if (answer.code == kRefused) {
+        outcome.ending = Ending::refused;
         const auto it = answer.body.is_object() ? answer.body.find("noState") : answer.body.end();
-        outcome.no_state = it != answer.body.end() && it->is_boolean() && it->get<bool>();
+        outcome.state_missing = it != answer.body.end() && it->is_boolean() && it->get<bool>();
     } else {
-        outcome.ending = answer.code == kExpired ? Ending::late : Ending::error;
+        outcome.ending = answer.code == kTimedOut ? Ending::timed_out : Ending::error;
     }
     return outcome;
 }
 
-std::string read_result_line(const Id& id, double cached_tokens, const LoadReport& report) {
+std::string prefill_result_line(const Id& id, double cached_tokens, const LoadReport& report) {
     Json body = {{"kept", cached_tokens}};
     add_load_report(body, report);
-    return result(id, body);
+    return result_line(id, body);
 }
 
-std::string write_result_line(const Id& id, double tokens, double cached_tokens, const LoadReport& report) {
+std::string decode_result_line(const Id& id, double tokens, double cached_tokens, const LoadReport& report) {
     Json body = {{"tokens", tokens}, {"kept", cached_tokens}};
     add_load_report(body, report);
-    return result(id, body);
+    return result_line(id, body);
 }
 
-std::string full_line(const Id& id, bool no_state, std::string_view why, const LoadReport& report) {
+std::string refused_line(const Id& id, bool state_missing, std::string_view why, const LoadReport& report) {
     Json data = {{"reason", why}};
-    if (no_state) data["noState"] = true;
+    if (state_missing) data["noState"] = true;
     add_load_report(data, report);
-    return error(id, kFull, no_state ? "no state to fetch" : "full", data);
+    return error_line(id, kRefused, state_missing ? "no state to fetch" : "full", data);
 }
 
 std::string hello_line(const Id& id, const Hello& hello) {
-    return call(id, kInitialize,
-                {{"protocolVersion", kProtocolVersion},
-                 {"capabilities", Json::object()},
-                 {"clientInfo", {{"name", hello.name}, {"version", "1"}}},
-                 {"zone", hello.zone},
-                 {"life", hello.life}});
+    return request_line(id, kInitialize,
+                        {{"protocolVersion", kProtocolVersion},
+                         {"capabilities", Json::object()},
+                         {"clientInfo", {{"name", hello.name}, {"version", "1"}}},
+                         {"zone", hello.zone},
+                         {"life", hello.instance_id}});
 }
 
 std::variant<Hello, std::string> read_hello(const Json& params) {
@@ -354,29 +355,29 @@
     Hello hello;
     const Json* info = fields.find("clientInfo", true);
     if (info && info->is_object())
-        hello.name = text_at(*info, "name");
+        hello.name = string_or(*info, "name");
     else
         fields.fail("clientInfo", "expected an object");
     hello.zone = fields.text("zone", false);
-    hello.life = fields.text("life", false);
+    hello.instance_id = fields.text("life", false);
     if (!fields.problem().empty()) return fields.problem();
     return hello;
 }
 
-std::string hello_answer_line(const Id& id, std::string_view name, std::string_view version) {
-    return result(id, {{"protocolVersion", kProtocolVersion},
-                       {"capabilities", Json::object()},
-                       {"serverInfo", {{"name", name}, {"version", version}}}});
+std::string hello_result_line(const Id& id, std::string_view name, std::string_view version) {
+    return result_line(id, {{"protocolVersion", kProtocolVersion},
+                            {"capabilities", Json::object()},
+                            {"serverInfo", {{"name", name}, {"version", version}}}});
 }
 
-std::variant<RosterNews, std::string> read_news(const Json& body) {
+std::variant<RosterUpdate, std::string> read_roster_update(const Json& body) {
     if (!body.is_object()) return std::string("expected an object");
-    RosterNews update;
+    RosterUpdate update;
     FieldReader fields(body);
     update.version = static_cast<std::uint64_t>(fields.number("version", true, 0, 9e15));
     const std::string how = fields.text("how", true);
     if (how != "whole" && how != "changes") fields.fail("how", "expected \"whole\" or \"changes\"");
-    update.whole = how == "whole";
+    update.is_snapshot = how == "whole";
     const Json* servers = fields.find("servers", true);
     if (servers && !servers->is_array()) fields.fail("servers", "expected a list");
     if (servers && servers->is_array()) {
@@ -394,13 +395,13 @@
             e.kind = inner.text("kind", true);
             e.zone = inner.text("zone", true);
             e.cell = inner.text("cell", false);
-            e.born_ms = static_cast<std::int64_t>(inner.number("bornMs", false, 0, 9e15));
+            e.started_at_ms = static_cast<std::int64_t>(inner.number("bornMs", false, 0, 9e15));
             const std::string status = inner.text("standing", true);
             if (status != "ready" && status != "draining" && status != "gone")
                 inner.fail("standing", "expected \"ready\", \"draining\" or \"gone\"");
-            e.standing = status == "ready"      ? Standing::ready
-                         : status == "draining" ? Standing::draining
-                                                : Standing::gone;
+            e.status = status == "ready"      ? ServerStatus::ready
+                       : status == "draining" ? ServerStatus::draining
+                                              : ServerStatus::removed;
             if (!inner.problem().empty()) fields.fail(path + "." + inner.problem(), "");
             update.entries.push_back(std::move(e));
         }
@@ -409,7 +410,7 @@
     return update;
 }
 
-Json news_json(const RosterNews& update) {
+Json roster_update_json(const RosterUpdate& update) {
     Json servers = Json::array();
     for (const RosterEntry& e : update.entries)
         servers.push_back({{"server", e.server},
@@ -417,9 +418,10 @@
                            {"kind", e.kind},
                            {"zone", e.zone},
                            {"cell", e.cell},
-                           {"bornMs", e.born_ms},
-                           {"standing", status_text(e.standing)}});
-    return {{"version", update.version}, {"how", update.whole ? "whole" : "changes"}, {"servers", servers}};
+                           {"bornMs", e.started_at_ms},
+                           {"standing", status_text(e.status)}});
+    return {
+        {"version", update.version}, {"how", update.is_snapshot ? "whole" : "changes"}, {"servers", servers}};
 }
 
 }  // namespace copperfront::rpc
--- a/src/sexpr/schema.cpp
+++ b/src/sexpr/schema.cpp
@@ -56,65 +56,66 @@
     return false;
 }
 
-std::string range(const Key& key) {
-    if (key.type == Type::span) return format_number(key.min) + "ms to " + format_number(key.max) + "ms";
+std::string range(const KeySpec& key) {
+    if (key.type == ValueType::duration)
+        return format_number(key.min) + "ms to " + format_number(key.max) + "ms";
     return format_number(key.min) + " to " + format_number(key.max);
 }
 
-std::string describe_expected(const Key& key) {
+std::string describe_expected(const KeySpec& key) {
     switch (key.type) {
-        case Type::text:
+        case ValueType::string:
             return "text";
-        case Type::texts:
+        case ValueType::strings:
             return "one or more texts";
-        case Type::whole:
+        case ValueType::integer:
             return "a whole number, " + range(key);
-        case Type::number:
+        case ValueType::number:
             return "a number, " + range(key);
-        case Type::span:
+        case ValueType::duration:
             return "a time with its unit (us, ms, s, min, h), " + range(key);
-        case Type::flag:
+        case ValueType::flag:
             return "yes or no";
-        case Type::choice:
+        case ValueType::choice:
             return join_alternatives(split_words(key.choices));
     }
     return "";
 }
 
 // Parses the atoms of a key. Returns an empty string on success, else the error.
-std::string parse_value(const Key& key, const std::vector<std::string>& atoms, Value& value) {
+std::string parse_value(const KeySpec& key, const std::vector<std::string>& atoms, Value& value) {
     const std::string& atom = atoms.front();
     const std::string found = ", found " + atom;
-    if (key.type == Type::texts) {
-        value.texts = atoms;
+    if (key.type == ValueType::strings) {
+        value.strings = atoms;
         return {};
     }
     if (atoms.size() != 1)
         return "expected one value, " + describe_expected(key) + ", found " + std::to_string(atoms.size());
     switch (key.type) {
-        case Type::text:
-        case Type::texts:
+        case ValueType::string:
+        case ValueType::strings:
             value.text = atom;
             return {};
-        case Type::flag:
+        case ValueType::flag:
             value.flag = atom == "yes";
             return atom == "yes" || atom == "no" ? "" : "expected " + describe_expected(key) + found;
-        case Type::choice: {
+        case ValueType::choice: {
             value.text = atom;
             const auto choices = split_words(key.choices);
             return std::find(choices.begin(), choices.end(), atom) != choices.end()
                        ? ""
                        : "expected " + describe_expected(key) + found;
         }
-        case Type::span:
+        case ValueType::duration:
             if (!parse_duration(atom, value.number) || value.number < key.min || value.number > key.max)
                 return "expected " + describe_expected(key) + found;
-            value.span = {std::llround(value.number * 1000)};
+            value.duration = {std::llround(value.number * 1000)};
             return {};
-        case Type::whole:
-        case Type::number:
+        case ValueType::integer:
+        case ValueType::number:
             if (!parse_number(atom, value.number) || value.number < key.min || value.number > key.max ||
-                (key.type == Type::whole && value.number != std::floor(value.number))) {
+                (key.type == ValueType::integer && value.number != std::floor(value.number))) {
                 // All errors of a file are reported at once, so the remaining checks go on with a valid
                 // number.
                 value.number = value.number > key.max ? key.max : key.min;
@@ -125,14 +126,14 @@
     return {};
 }
 
-const FormKind* find_form_spec(const Schema& schema, const std::string& name) {
-    for (const FormKind& kind : schema.forms)
+const FormSpec* find_form_spec(const Schema& schema, const std::string& name) {
+    for (const FormSpec& kind : schema.forms)
         if (name == kind.name) return &kind;
     return nullptr;
 }
 
-const Key* find_key_spec(const Schema& schema, const std::string& form, const std::string& name) {
-    for (const Key& key : schema.keys)
+const KeySpec* find_key_spec(const Schema& schema, const std::string& form, const std::string& name) {
+    for (const KeySpec& key : schema.keys)
         if (form == key.form && name == key.key) return &key;
     return nullptr;
 }
@@ -143,8 +144,8 @@
                              : "; did you mean " + candidate + "?";
 }
 
-void fill_defaults(Sheet& parsed_form, const Schema& schema, std::vector<Fault>* diagnostics) {
-    for (const Key& key : schema.keys) {
+void fill_defaults(ParsedForm& parsed_form, const Schema& schema, std::vector<Diagnostic>* diagnostics) {
+    for (const KeySpec& key : schema.keys) {
         if (parsed_form.form != key.form || parsed_form.values.count(key.key)) continue;
         Value value;
         value.line = parsed_form.line;
@@ -162,10 +163,11 @@
 
 }  // namespace
 
-std::vector<Sheet> read_sheets(const Form& file, const Schema& schema, std::vector<Fault>& diagnostics) {
-    std::vector<Sheet> forms;
+std::vector<ParsedForm> read_parsed_forms(const Form& file, const Schema& schema,
+                                          std::vector<Diagnostic>& diagnostics) {
+    std::vector<ParsedForm> forms;
     std::vector<std::string> form_names;
-    for (const FormKind& kind : schema.forms) form_names.emplace_back(kind.name);
+    for (const FormSpec& kind : schema.forms) form_names.emplace_back(kind.name);
     std::map<std::string, int> first_lines;  // first line of each non-repeatable form and of each name
 
     for (std::size_t i = 1; i < file.items.size(); ++i) {
@@ -176,13 +178,13 @@
                                        (form.is_list ? "()" : form.atom)});
             continue;
         }
-        const FormKind* kind = find_form_spec(schema, form.head());
+        const FormSpec* kind = find_form_spec(schema, form.head());
         if (!kind) {
             diagnostics.push_back(
                 {form.line, form.head(), "unknown form" + suggestion(form.head(), form_names)});
             continue;
         }
-        Sheet parsed_form;
+        ParsedForm parsed_form;
         parsed_form.form = kind->name;
         parsed_form.line = form.line;
         std::size_t at = 1;
@@ -204,7 +206,7 @@
             diagnostics.push_back({form.line, parsed_form.path(),
                                    "stands twice, first on line " + std::to_string(first->second)});
         std::vector<std::string> key_names;
-        for (const Key& key : schema.keys)
+        for (const KeySpec& key : schema.keys)
             if (parsed_form.form == key.form) key_names.emplace_back(key.key);
         for (; at < form.items.size(); ++at) {
             const Form& item = form.items[at];
@@ -216,7 +218,7 @@
                 continue;
             }
             const std::string path = parsed_form.path() + " / " + name;
-            const Key* key = find_key_spec(schema, parsed_form.form, name);
+            const KeySpec* key = find_key_spec(schema, parsed_form.form, name);
             if (!key) {
                 diagnostics.push_back({item.line, path, "unknown key" + suggestion(name, key_names)});
                 continue;
@@ -249,13 +251,13 @@
         fill_defaults(parsed_form, schema, &diagnostics);
         forms.push_back(std::move(parsed_form));
     }
-    for (const FormKind& kind : schema.forms) {
+    for (const FormSpec& kind : schema.forms) {
         const bool present =
-            std::any_of(forms.begin(), forms.end(), [&](const Sheet& s) { return s.form == kind.name; });
+            std::any_of(forms.begin(), forms.end(), [&](const ParsedForm& s) { return s.form == kind.name; });
         if (present) continue;
         if (kind.required) diagnostics.push_back({file.line, kind.name, "this form is missing"});
         if (kind.repeatable || kind.named) continue;
-        Sheet parsed_form;
+        ParsedForm parsed_form;
         parsed_form.form = kind.name;
         parsed_form.line = file.line;
         fill_defaults(parsed_form, schema, kind.required ? nullptr : &diagnostics);
@@ -264,29 +266,31 @@
     return forms;
 }
 
-const Sheet& only(const std::vector<Sheet>& forms, const char* form) { return *all(forms, form).at(0); }
+const ParsedForm& single_form(const std::vector<ParsedForm>& forms, const char* form) {
+    return *forms_of_kind(forms, form).at(0);
+}
 
-std::vector<const Sheet*> all(const std::vector<Sheet>& forms, const char* form) {
-    std::vector<const Sheet*> out;
-    for (const Sheet& parsed_form : forms)
+std::vector<const ParsedForm*> forms_of_kind(const std::vector<ParsedForm>& forms, const char* form) {
+    std::vector<const ParsedForm*> out;
+    for (const ParsedForm& parsed_form : forms)
         if (parsed_form.form == form) out.push_back(&parsed_form);
     return out;
 }
 
-std::string describe(const Schema& schema) {
+std::string schema_reference(const Schema& schema) {
     std::string out;
-    for (const FormKind& kind : schema.forms) {
+    for (const FormSpec& kind : schema.forms) {
         out += "## `(" + std::string(kind.name) + (kind.named ? " \"name\"" : "") + " ...)`\n\n" +
                kind.description;
         out += std::string(kind.required ? " Needed" : " May be left out") +
                (kind.repeatable ? "; may stand more than once.\n" : ".\n");
         bool has_header = false;
-        for (const Key& key : schema.keys) {
+        for (const KeySpec& key : schema.keys) {
             if (std::strcmp(key.form, kind.name) != 0) continue;
             if (!has_header) out += "\n| key | value | default | meaning |\n| --- | --- | --- | --- |\n";
             has_header = true;
             std::string value = describe_expected(key);
-            if ((key.type == Type::whole || key.type == Type::number) && *key.choices)
+            if ((key.type == ValueType::integer || key.type == ValueType::number) && *key.choices)
                 value += std::string(" (") + key.choices + ")";
             out += "| `" + std::string(key.key) + "` | " + value + " | " +
                    (key.default_value == nullptr ? "must be given"
--- a/src/sexpr/schema.h
+++ b/src/sexpr/schema.h
@@ -12,9 +12,9 @@
 
 namespace copperfront {
 
-enum class Type { text, texts, whole, number, span, flag, choice };
+enum class ValueType { string, strings, integer, number, duration, flag, choice };
 
-struct FormKind {
+struct FormSpec {
     const char* name;
     bool named;       // (FORM "name" ...); names are unique
     bool repeatable;  // may occur more than once
@@ -22,10 +22,10 @@
     const char* description;
 };
 
-struct Key {
+struct KeySpec {
     const char* form;
     const char* key;
-    Type type;
+    ValueType type;
     const char* default_value;  // as written in a file; null: the key is required; "": none
     double min, max;            // bounds of numbers, and of durations in milliseconds
     const char* choices;        // the values of a choice, separated by blanks; otherwise the unit
@@ -34,15 +34,15 @@
 
 struct Schema {
     const char* head;
-    std::span<const FormKind> forms;
-    std::span<const Key> keys;
+    std::span<const FormSpec> forms;
+    std::span<const KeySpec> keys;
 };
 
 struct Value {
-    std::string text;                // of types text and choice
-    std::vector<std::string> texts;  // of type texts
+    std::string text;                  // of types string and choice
+    std::vector<std::string> strings;  // of type strings
     double number = 0;
-    Span span;
+    Duration duration;
     bool flag = false;
     bool given = false;       // stated in the file, not taken from the default
     std::string source_text;  // as written in the file
@@ -50,7 +50,7 @@
 };
 
 // One form as read; holds a value for each key of its form.
-struct Sheet {
+struct ParsedForm {
     std::string form, name;
     int line = 0;
     bool invalid = false;  // a value could not be read, so checks that depend on it are skipped
@@ -59,8 +59,8 @@
     const Value& at(const char* key) const { return values.at(key); }
     const std::string& text(const char* key) const { return at(key).text; }
     double number(const char* key) const { return at(key).number; }
-    std::size_t whole(const char* key) const { return static_cast<std::size_t>(at(key).number); }
-    Span span(const char* key) const { return at(key).span; }
+    std::size_t size(const char* key) const { return static_cast<std::size_t>(at(key).number); }
+    Duration duration(const char* key) const { return at(key).duration; }
     bool flag(const char* key) const { return at(key).flag; }
     // Path of the form, as diagnostics show it.
     std::string path() const { return name.empty() ? form : form + " " + name; }
@@ -68,13 +68,14 @@
 
 // Returns all forms in file order. An unnamed, non-repeatable form that is absent is added with its default
 // values. Adds all errors to `diagnostics`, not only the first.
-std::vector<Sheet> read_sheets(const Form& file, const Schema& schema, std::vector<Fault>& diagnostics);
+std::vector<ParsedForm> read_parsed_forms(const Form& file, const Schema& schema,
+                                          std::vector<Diagnostic>& diagnostics);
 
 // Returns the first form of that kind; throws std::out_of_range if there is none.
-const Sheet& only(const std::vector<Sheet>& forms, const char* form);
-std::vector<const Sheet*> all(const std::vector<Sheet>& forms, const char* form);
+const ParsedForm& single_form(const std::vector<ParsedForm>& forms, const char* form);
+std::vector<const ParsedForm*> forms_of_kind(const std::vector<ParsedForm>& forms, const char* form);
 
 // Returns a reference page of all forms and keys, in Markdown.
-std::string describe(const Schema& schema);
+std::string schema_reference(const Schema& schema);
 
 }  // namespace copperfront
--- a/src/sexpr/tree.cpp
+++ b/src/sexpr/tree.cpp
@@ -20,7 +20,7 @@
     bool ok = true;
 };
 
-AtomLines find_lines(std::string_view text, std::vector<Fault>& diagnostics) {
+AtomLines find_lines(std::string_view text, std::vector<Diagnostic>& diagnostics) {
     AtomLines positions;
     std::vector<int> open;
     int line = 1;
@@ -93,7 +93,8 @@
     return is_list && !items.empty() && !items.front().is_list ? items.front().atom : none;
 }
 
-Form parse_forms(std::string_view text, std::string_view expected_head, std::vector<Fault>& diagnostics) {
+Form parse_forms(std::string_view text, std::string_view expected_head,
+                 std::vector<Diagnostic>& diagnostics) {
     if (const std::size_t nul = text.find('\0'); nul != std::string_view::npos) {
         diagnostics.push_back({0, "", "not a text file: it holds a zero byte"});
         return {};
@@ -119,7 +120,7 @@
 }
 
 bool read_file(const std::string& path, std::size_t max_bytes, std::string& text,
-               std::vector<Fault>& diagnostics) {
+               std::vector<Diagnostic>& diagnostics) {
     const std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "rb"), std::fclose);
     if (!file) {
         diagnostics.push_back({0, "", std::string("cannot be opened: ") + std::strerror(errno)});
@@ -139,15 +140,15 @@
     return true;
 }
 
-std::string text_of(const std::string& file, const std::vector<Fault>& diagnostics) {
+std::string format_diagnostics(const std::string& file, const std::vector<Diagnostic>& diagnostics) {
     std::string out;
-    for (const Fault& f : diagnostics) {
+    for (const Diagnostic& f : diagnostics) {
         if (!out.empty()) out += '\n';
         out += file + ":";
         if (f.line > 0) out += std::to_string(f.line) + ":";
         out += " ";
         if (!f.path.empty()) out += f.path + ": ";
-        out += f.what;
+        out += f.message;
     }
     return out;
 }
--- a/src/sexpr/tree.h
+++ b/src/sexpr/tree.h
@@ -19,22 +19,22 @@
 };
 
 // One error in a file.
-struct Fault {
-    int line = 0;      // 0: concerns the whole file
-    std::string path;  // path of forms, outermost first, such as "category chat / latency-goal"
-    std::string what;  // the error, and what was expected
+struct Diagnostic {
+    int line = 0;         // 0: concerns the whole file
+    std::string path;     // path of forms, outermost first, such as "category chat / latency-goal"
+    std::string message;  // the error, and what was expected
 };
 
 // Parses a text that holds one list with the head `expected_head`. On errors adds diagnostics and returns an
 // empty form.
-Form parse_forms(std::string_view text, std::string_view expected_head, std::vector<Fault>& diagnostics);
+Form parse_forms(std::string_view text, std::string_view expected_head, std::vector<Diagnostic>& diagnostics);
 
 // Reads a file of at most `max_bytes` bytes. Returns false and adds a diagnostic on failure.
 bool read_file(const std::string& path, std::size_t max_bytes, std::string& text,
-               std::vector<Fault>& diagnostics);
+               std::vector<Diagnostic>& diagnostics);
 
 // One line for each diagnostic: FILE:LINE: PATH: WHAT.
-std::string text_of(const std::string& file, const std::vector<Fault>& diagnostics);
+std::string format_diagnostics(const std::string& file, const std::vector<Diagnostic>& diagnostics);
 
 // Returns the name in `known` with the smallest edit distance (Levenshtein) to `name`; empty if none is
 // close.
--- a/src/soak/cpu_share.cpp
+++ b/src/soak/cpu_share.cpp
@@ -7,11 +7,11 @@
 namespace copperfront::soak {
 namespace {
 
-constexpr Span kPeriod{20000};  // one stop and one continuation
+constexpr Duration kPeriod{20000};  // one stop and one continuation
 
 }  // namespace
 
-CpuShare::CpuShare(Loop& loop, day::Processes& processes, std::string process, double share)
+CpuShare::CpuShare(Loop& loop, scenario::ChildProcesses& processes, std::string process, double share)
     : processes_(processes),
       process_(std::move(process)),
       share_(share),
--- a/src/soak/cpu_share.h
+++ b/src/soak/cpu_share.h
@@ -12,7 +12,7 @@
 class CpuShare {
   public:
     // `share`: of one core, more than 0 and at most 1.
-    CpuShare(Loop& loop, day::Processes& processes, std::string process, double share);
+    CpuShare(Loop& loop, scenario::ChildProcesses& processes, std::string process, double share);
     // Continues the process.
     ~CpuShare();
     CpuShare(const CpuShare&) = delete;
@@ -21,7 +21,7 @@
   private:
     void toggle();
 
-    day::Processes& processes_;
+    scenario::ChildProcesses& processes_;
     const std::string process_;
     const double share_;
     bool running_ = true;
--- a/src/soak/fault_proxy.cpp
+++ b/src/soak/fault_proxy.cpp
@@ -30,17 +30,17 @@
         }
     }
     void fall_silent() {
-        if (!silent_) silent_since_ = machine_clock_us();
+        if (!silent_) silent_since_ = monotonic_clock_us();
         silent_ = true;
     }
     void end(bool reset) {
-        connect_timer_.off();
-        if (silent_ && proxy_.on_silence_ended) proxy_.on_silence_ended(silent_since_, machine_clock_us());
+        connect_timer_.cancel();
+        if (silent_ && proxy_.on_silence_ended) proxy_.on_silence_ended(silent_since_, monotonic_clock_us());
         for (End* const end : {&gateway_, &server_}) {
             if (reset) {
                 Stream::reset(proxy_.loop_, std::move(end->stream));
             } else {
-                Stream::hand_off(proxy_.loop_, std::move(end->stream), true);
+                Stream::detach_and_close(proxy_.loop_, std::move(end->stream), true);
             }
         }
     }
@@ -48,11 +48,13 @@
   private:
     struct End : Stream::Owner {
         explicit End(Relay& the_relay) : relay(the_relay) {}
-        void stream_made(Stream&) override { relay.forward(relay.gateway_, relay.server_); }
-        void bytes_came(Stream&) override {
+        void stream_connected(Stream&) override { relay.forward(relay.gateway_, relay.server_); }
+        void bytes_received(Stream&) override {
             relay.forward(*this, this == &relay.gateway_ ? relay.server_ : relay.gateway_);
         }
-        void stream_closed(Stream&, Closing why, const std::string&) override { relay.closed(*this, why); }
+        void stream_closed(Stream&, CloseReason why, const std::string&) override {
+            relay.closed(*this, why);
+        }
         Relay& relay;
         std::unique_ptr<Stream> stream;
     };
@@ -62,22 +64,22 @@
     }
     void forward(End& from, End& to) {
         if (!from.stream) return;
-        while (from.stream->held() > 0) {
+        while (from.stream->buffered() > 0) {
             // Bytes that arrive on a silent connection are accepted by the system and lost.
             if (!silent_) {
-                if (!to.stream || !to.stream->made()) return;
+                if (!to.stream || !to.stream->is_connected()) return;
                 to.stream->send(from.stream->front());
             }
             from.stream->drain(from.stream->front().size());
         }
     }
-    void closed(End& end, Closing why) {
+    void closed(End& end, CloseReason why) {
         // On a silent connection the gateway does not learn that the server has closed.
         if (silent_ && &end == &server_) {
-            Stream::hand_off(proxy_.loop_, std::move(server_.stream), false);
+            Stream::detach_and_close(proxy_.loop_, std::move(server_.stream), false);
             return;
         }
-        proxy_.drop(*this, why != Closing::peer_ended);
+        proxy_.drop(*this, why != CloseReason::peer_closed);
     }
 
     FaultProxy& proxy_;
@@ -96,7 +98,7 @@
 
 FaultProxy::~FaultProxy() = default;
 
-double FaultProxy::draw() { return unit(random_state_ = mixed(random_state_ + 1)); }
+double FaultProxy::draw() { return unit_interval(random_state_ = mix_bits(random_state_ + 1)); }
 
 void FaultProxy::forward_to(const Address& server) {
     reset(1.0);
@@ -129,7 +131,7 @@
     const auto it = relays_.find(&relay);
     if (it == relays_.end()) return;
     relay.end(reset);
-    loop_.bury(std::move(it->second));
+    loop_.delete_later(std::move(it->second));
     relays_.erase(it);
 }
 
--- a/src/soak/fault_proxy.h
+++ b/src/soak/fault_proxy.h
@@ -31,7 +31,7 @@
     void silence(double share);
     void reset(double share);
     // New connections forward their first bytes only after this time.
-    void delay_new(Span delay) { connect_delay_ = delay; }
+    void delay_new(Duration delay) { connect_delay_ = delay; }
     // Called when a connection that was silent for a while ends, with the times on the machine's monotonic
     // clock.
     std::function<void(std::int64_t from_us, std::int64_t until_us)> on_silence_ended;
@@ -46,7 +46,7 @@
     std::uint64_t random_state_;
     Address server_;
     bool has_server_ = false, is_cut_off_ = false;
-    Span connect_delay_;
+    Duration connect_delay_;
     std::map<Relay*, std::unique_ptr<Relay>> relays_;
     Listener listener_;
 };
--- a/src/soak/fleet.cpp
+++ b/src/soak/fleet.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 // The longest deadline of the clients of a run plus the time that the protocol adds before SIGKILL.
-constexpr Span kKillDelay{3700000};
-constexpr Span kAcceptsAfterSigterm{300000};  // new connections after SIGTERM
-constexpr Span kRestartDelay{100000};
-constexpr Span kCrashNoticeDelay{400000};  // until discovery reports that a server has crashed
-constexpr Span kReadyPollInterval{50000};
+constexpr Duration kKillDelay{3700000};
+constexpr Duration kAcceptsAfterSigterm{300000};  // new connections after SIGTERM
+constexpr Duration kRestartDelay{100000};
+constexpr Duration kCrashNoticeDelay{400000};  // until discovery reports that a server has crashed
+constexpr Duration kReadyPollInterval{50000};
 constexpr int kGatewayPort = 18080;
 constexpr int kHosts = 250;
 constexpr std::size_t kServerGroups = 4;
@@ -74,13 +74,13 @@
         : loop_(loop), callback_(std::move(callback)) {
         stream_ = Stream::dial(loop, to, {0, 0}, *this);
     }
-    ~ReadyProbe() override { Stream::hand_off(loop_, std::move(stream_), false); }
-    void stream_made(Stream& s) override { s.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
-    void bytes_came(Stream& s) override {
+    ~ReadyProbe() override { Stream::detach_and_close(loop_, std::move(stream_), false); }
+    void stream_connected(Stream& s) override { s.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
+    void bytes_received(Stream& s) override {
         const bool ready = s.front().substr(0, 12) == "HTTP/1.1 200";
         report(ready);
     }
-    void stream_closed(Stream&, Closing, const std::string&) override { report(false); }
+    void stream_closed(Stream&, CloseReason, const std::string&) override { report(false); }
 
   private:
     void report(bool ready) {
@@ -105,7 +105,7 @@
 
 struct Fleet::Server {
     std::string name, zone;
-    Role role = Role::reader;
+    Role role = Role::prefill;
     bool running = false, ready = false, draining = false;
     std::uint32_t life = 0;
     std::uint32_t renamed = 0;  // how often
@@ -115,12 +115,12 @@
 Fleet::Fleet(Loop& loop, const FleetOptions& options, Records& records)
     : loop_(loop), options_(options), records_(records), processes_(loop) {
     std::filesystem::create_directories(options.folder + "/states");
-    platform_ = std::make_unique<standin::Platform>(loop, standin::Platform::Shape{});
+    platform_ = std::make_unique<fake_server::FakePlatform>(loop, fake_server::FakePlatform::ServiceTimes{});
 }
 
 Fleet::~Fleet() = default;
 
-void Fleet::after(Span duration, std::function<void()> action) {
+void Fleet::after(Duration duration, std::function<void()> action) {
     timers_.push_back(std::make_unique<Timer>(loop_, std::move(action)));
     timers_.back()->set(duration);
 }
@@ -130,8 +130,8 @@
     const std::size_t count = options_.prefill_servers + options_.decode_servers;
     for (std::size_t n = 0; n < count; ++n) {
         auto server = std::make_unique<Server>();
-        server->role = n < options_.prefill_servers ? Role::reader : Role::writer;
-        server->name = (server->role == Role::reader ? "prefill-" : "decode-") + std::to_string(n);
+        server->role = n < options_.prefill_servers ? Role::prefill : Role::decode;
+        server->name = (server->role == Role::prefill ? "prefill-" : "decode-") + std::to_string(n);
         server->zone = n % 2 == 0 ? "a" : "b";
         server->proxy =
             std::make_unique<FaultProxy>(loop_, options_.seed * 1000U + static_cast<std::uint32_t>(n));
@@ -170,7 +170,7 @@
     file << R"({"name":")" << process.name << R"(","listen":")" << gateway_address(gateway).text()
          << R"(","discovery":")" << platform_->discovery_for(process.name).text() << R"(","seed":")"
          << options_.seed * 100 + process.life << R"(","limits":{"memory_mb":192,"sockets":512},"known":)"
-         << platform_->list() << ",\n " << kSettings << "}\n";
+         << platform_->list_json() << ",\n " << kSettings << "}\n";
     file.close();
     std::filesystem::rename(temporary_file, process.configuration);
 }
@@ -186,14 +186,14 @@
     GatewayLife life;
     life.gateway = gateway;
     life.life = process.life;
-    life.started = machine_clock_us();
+    life.started = monotonic_clock_us();
     records_.gateways.push_back(life);
     const std::string run = options_.folder + "/" + process.name + "." + std::to_string(process.life);
-    day::Processes::Start start;
+    scenario::ChildProcesses::ProcessOptions start;
     start.name = process.name;
     start.program = options_.gateway_program;
     start.args = {"node", process.configuration, "--log-level", options_.log_level};
-    start.errors = run + ".log";
+    start.stderr_file = run + ".log";
     if (!options_.shim.empty()) {
         start.environment = {"LD_PRELOAD=" + options_.shim,
                              "FAULT_SHIM_SEED=" + std::to_string(options_.seed * 100 + process.life),
@@ -201,7 +201,7 @@
                              "FAULT_SHIM_CLOCK=" + std::to_string(wall_clock_error(gateway + process.life)),
                              "FAULT_SHIM_CLOCK_STEP=" + std::to_string(wall_clock_error(gateway))};
     }
-    start.ended = [this, gateway](int status) { gateway_ended(gateway, status); };
+    start.on_exit = [this, gateway](int status) { gateway_ended(gateway, status); };
     processes_.start(std::move(start));
     poll_ready(gateway);
 }
@@ -233,7 +233,7 @@
 void Fleet::gateway_ended(std::size_t gateway, int status) {
     Gateway& process = *gateways_[gateway];
     GatewayLife& life = records_.gateways[process.record];
-    life.exited = machine_clock_us();
+    life.exited = monotonic_clock_us();
     life.status = status;
     life.violations =
         violations_in(options_.folder + "/" + process.name + "." + std::to_string(process.life) + ".log");
@@ -249,7 +249,7 @@
     const Gateway& process = *gateways_[gateway];
     if (!process.running || !process.ready) return false;
     const Microseconds terminated = records_.gateways[process.record].terminated;
-    return terminated == 0 || machine_clock_us() - terminated < kAcceptsAfterSigterm.us;
+    return terminated == 0 || monotonic_clock_us() - terminated < kAcceptsAfterSigterm.us;
 }
 
 Address Fleet::gateway_address(std::size_t gateway) const {
@@ -262,12 +262,12 @@
     Gateway& process = *gateways_[gateway];
     if (!process.ready || process.terminated) return;
     process.terminated = true;
-    records_.gateways[process.record].terminated = machine_clock_us();
+    records_.gateways[process.record].terminated = monotonic_clock_us();
     signal(process.name, SIGTERM);
     process.kill_later = std::make_unique<Timer>(loop_, [this, gateway] {
         Gateway& late = *gateways_[gateway];
         if (!late.running) return;
-        records_.gateways[late.record].killed = machine_clock_us();
+        records_.gateways[late.record].killed = monotonic_clock_us();
         signal(late.name, SIGKILL);
     });
     process.kill_later->set(kKillDelay);
@@ -285,7 +285,7 @@
 void Fleet::crash_gateway(std::size_t gateway) {
     Gateway& process = *gateways_[gateway];
     if (!process.ready || process.terminated) return;
-    records_.gateways[process.record].killed = machine_clock_us();
+    records_.gateways[process.record].killed = monotonic_clock_us();
     signal(process.name, SIGKILL);
 }
 
@@ -296,7 +296,7 @@
     signal(process.name, SIGHUP);
 }
 
-void Fleet::pause_gateway(std::size_t gateway, Span duration) {
+void Fleet::pause_gateway(std::size_t gateway, Duration duration) {
     Gateway& process = *gateways_[gateway];
     if (!process.ready) return;
     signal(process.name, SIGSTOP);
@@ -309,7 +309,7 @@
         if (gateways_[n]->ready) {
             restart_gateway(n);
         } else if (gateways_[n]->running) {
-            records_.gateways[gateways_[n]->record].killed = machine_clock_us();
+            records_.gateways[gateways_[n]->record].killed = monotonic_clock_us();
             signal(gateways_[n]->name, SIGKILL);
         }
     }
@@ -329,19 +329,19 @@
     process.running = true;
     process.ready = false;
     ++process.life;
-    day::Processes::Start start;
+    scenario::ChildProcesses::ProcessOptions start;
     start.name = process.name;
     start.program = options_.program;
     start.args = {
         "standin",   "model-server",
         "--name",    process.name,
-        "--role",    process.role == Role::reader ? "prefill" : "decode",
+        "--role",    process.role == Role::prefill ? "prefill" : "decode",
         "--states",  options_.folder + "/states",
         "--records", options_.folder + "/" + process.name + "." + std::to_string(process.life) + ".records",
         "--seed",    std::to_string(std::size_t{options_.seed} * 7919 + server * 31 + process.life),
         "--faults",  std::to_string(options_.server_fault_share)};
-    start.errors = options_.folder + "/" + process.name + ".log";
-    start.said = [this, server](const std::string& line) {
+    start.stderr_file = options_.folder + "/" + process.name + ".log";
+    start.on_output_line = [this, server](const std::string& line) {
         const std::string ready = "ready ";
         if (line.rfind(ready, 0) != 0) return;
         Server& started = *servers_[server];
@@ -349,7 +349,7 @@
         started.ready = true;
         list_server(server);
     };
-    start.ended = [this, server](int) { server_ended(server); };
+    start.on_exit = [this, server](int) { server_ended(server); };
     processes_.start(std::move(start));
 }
 
@@ -368,11 +368,11 @@
     const bool is_restart = process.life > 1 || process.renamed > 0;
     // The server is no longer withdrawn.
     if (auto& spans = records_.withdrawn[process.name]; !spans.empty()) {
-        spans.back().until = std::min(spans.back().until, machine_clock_us());
+        spans.back().until = std::min(spans.back().until, monotonic_clock_us());
     }
-    std::vector<standin::Platform::ListEntry> entries;
+    std::vector<fake_server::FakePlatform::ListEntry> entries;
     for (const std::string& name : listed_names(server)) {
-        standin::Platform::ListEntry entry;
+        fake_server::FakePlatform::ListEntry entry;
         entry.name = name;
         entry.zone = process.zone;
         entry.address = process.proxy->address().text();
@@ -381,7 +381,7 @@
         entry.since_ms = is_restart || cold_start_ ? loop_.now().us / 1000 : 0;
         entries.push_back(entry);
     }
-    platform_->list(entries);
+    platform_->add_to_list(entries);
 }
 
 void Fleet::server_ended(std::size_t server) {
@@ -390,21 +390,21 @@
     if (stopping_) return;
     after(kCrashNoticeDelay, [this, server] {
         if (stopping_ || servers_[server]->running) return;
-        platform_->set_all(listed_names(server), "removed");
+        platform_->set_statuses(listed_names(server), "removed");
         start_server(server);
     });
 }
 
-bool Fleet::is_prefill(std::size_t server) const { return servers_[server]->role == Role::reader; }
+bool Fleet::is_prefill(std::size_t server) const { return servers_[server]->role == Role::prefill; }
 
-void Fleet::record_fault(std::size_t server, Span duration) {
-    const Microseconds now = machine_clock_us();
+void Fleet::record_fault(std::size_t server, Duration duration) {
+    const Microseconds now = monotonic_clock_us();
     records_.server_faults[servers_[server]->name].push_back({now, now + duration.us});
 }
 
-void Fleet::pause_server(std::size_t server, Span duration) {
+void Fleet::pause_server(std::size_t server, Duration duration) {
     if (!servers_[server]->running) return;
-    record_fault(server, duration + Span{50000});
+    record_fault(server, duration + Duration{50000});
     signal(servers_[server]->name, SIGSTOP);
     after(duration, [this, server] { signal(servers_[server]->name, SIGCONT); });
 }
@@ -412,49 +412,49 @@
 void Fleet::crash_server(std::size_t server) {
     Server& process = *servers_[server];
     if (!process.ready) return;
-    const Microseconds now = machine_clock_us();
+    const Microseconds now = monotonic_clock_us();
     records_.server_deaths[process.name].push_back(now);
     record_fault(server, kCrashNoticeDelay);
     signal(process.name, SIGKILL);
     process.proxy->reset(1.0);
 }
 
-void Fleet::drain_server(std::size_t server, Span duration) { withdraw(server, "draining", duration); }
+void Fleet::drain_server(std::size_t server, Duration duration) { withdraw(server, "draining", duration); }
 
-void Fleet::withdraw(std::size_t server, const std::string& status, Span duration) {
+void Fleet::withdraw(std::size_t server, const std::string& status, Duration duration) {
     Server& process = *servers_[server];
     if (!process.ready || process.draining) return;
     process.draining = true;
-    const Microseconds now = machine_clock_us();
-    platform_->set_all(listed_names(server), status);
+    const Microseconds now = monotonic_clock_us();
+    platform_->set_statuses(listed_names(server), status);
     records_.withdrawn[process.name].push_back({now, now + duration.us, platform_->list_index()});
     after(duration, [this, server] {
         Server& drained = *servers_[server];
         drained.draining = false;
-        if (drained.ready) platform_->set_all(listed_names(server), "up");
+        if (drained.ready) platform_->set_statuses(listed_names(server), "up");
     });
 }
 
-void Fleet::rename_server(std::size_t server, Span hang_duration, Span absence) {
+void Fleet::rename_server(std::size_t server, Duration hang_duration, Duration absence) {
     Server& process = *servers_[server];
     if (!process.ready || process.draining) return;
     pause_server(server, hang_duration);
     process.draining = true;
-    const Microseconds now = machine_clock_us();
-    platform_->set_all(listed_names(server), "removed");
+    const Microseconds now = monotonic_clock_us();
+    platform_->set_statuses(listed_names(server), "removed");
     records_.withdrawn[process.name].push_back({now, now + absence.us, platform_->list_index()});
     after(absence, [this, server] {
         Server& renamed = *servers_[server];
         renamed.draining = false;
-        platform_->set_all(listed_names(server), "removed");
+        platform_->set_statuses(listed_names(server), "removed");
         ++renamed.renamed;
         if (renamed.ready) list_server(server);
     });
 }
 
-void Fleet::replace_quarter(std::size_t first, Span step) {
+void Fleet::replace_quarter(std::size_t first, Duration step) {
     const std::size_t count = std::max<std::size_t>(1, servers_.size() / 4);
-    const Span absence = step * static_cast<double>(count + 2);
+    const Duration absence = step * static_cast<double>(count + 2);
     for (std::size_t n = 0; n < count; ++n) {
         const std::size_t server = (first + n) % servers_.size();
         after(step * static_cast<double>(n), [this, server, absence, removed = n % 2 == 1] {
@@ -464,7 +464,7 @@
 }
 
 void Fleet::record_written_lists() {
-    const Microseconds clock_offset = machine_clock_us() - loop_.now().us;
+    const Microseconds clock_offset = monotonic_clock_us() - loop_.now().us;
     for (const auto& list : platform_->written_lists()) {
         if (list.gateway.empty() || list.completed_at.us == 0) continue;
         records_.written_lists.push_back({static_cast<std::size_t>(std::atoi(list.gateway.c_str() + 1)),
@@ -472,7 +472,7 @@
     }
 }
 
-void Fleet::cut_off_server(std::size_t server, Span duration) {
+void Fleet::cut_off_server(std::size_t server, Duration duration) {
     record_fault(server, duration);
     servers_[server]->proxy->cut_off(true);
     after(duration, [this, server] { servers_[server]->proxy->cut_off(false); });
@@ -486,7 +486,7 @@
 
 void Fleet::reset_connections(std::size_t server, double share) { servers_[server]->proxy->reset(share); }
 
-void Fleet::slow_connections(std::size_t server, Span delay, Span duration) {
+void Fleet::slow_connections(std::size_t server, Duration delay, Duration duration) {
     record_fault(server, duration + delay);
     servers_[server]->proxy->delay_new(delay);
     after(duration, [this, server] { servers_[server]->proxy->delay_new({}); });
@@ -494,11 +494,11 @@
 
 // ---- discovery
 
-void Fleet::silence_discovery(Span duration) {
-    platform_->discovery_is_silent(true);
+void Fleet::silence_discovery(Duration duration) {
+    platform_->set_discovery_silent(true);
     discovery_silent_until_ = std::max(discovery_silent_until_, loop_.now() + duration);
     after(duration, [this] {
-        if (loop_.now() >= discovery_silent_until_) platform_->discovery_is_silent(false);
+        if (loop_.now() >= discovery_silent_until_) platform_->set_discovery_silent(false);
     });
 }
 
@@ -509,8 +509,8 @@
 
 void Fleet::heal() {
     timers_.clear();
-    platform_->discovery_is_silent(false);
-    platform_->write_whole_lists_in_pieces(1, {});
+    platform_->set_discovery_silent(false);
+    platform_->set_snapshot_pieces(1, {});
     for (const auto& server : servers_) {
         signal(server->name, SIGCONT);
         server->proxy->cut_off(false);
--- a/src/soak/fleet.h
+++ b/src/soak/fleet.h
@@ -35,7 +35,7 @@
 
 class Fleet : public GatewayDirectory {
   public:
-    // Throws std::runtime_error or NetTrouble if something cannot be started.
+    // Throws std::runtime_error or NetworkError if something cannot be started.
     Fleet(Loop& loop, const FleetOptions& options, Records& records);
     ~Fleet() override;
 
@@ -57,7 +57,7 @@
     // Writes another configuration and sends SIGHUP.
     void reload_gateway(std::size_t gateway);
     // Stops the process with SIGSTOP for this long.
-    void pause_gateway(std::size_t gateway, Span duration);
+    void pause_gateway(std::size_t gateway, Duration duration);
     // Requests reloads and shutdowns at the same moment, more than once each.
     void signal_series(std::size_t gateway);
     void stop_all_gateways();
@@ -65,31 +65,31 @@
     // ---- faults of model servers and the network
     std::size_t server_count() const { return servers_.size(); }
     bool is_prefill(std::size_t server) const;
-    void pause_server(std::size_t server, Span duration);
+    void pause_server(std::size_t server, Duration duration);
     void crash_server(std::size_t server);
     // Discovery reports the server as draining for this long.
-    void drain_server(std::size_t server, Span duration);
-    void cut_off_server(std::size_t server, Span duration);
+    void drain_server(std::size_t server, Duration duration);
+    void cut_off_server(std::size_t server, Duration duration);
     // Withdraws a quarter of the servers one after another, every second of them by removing it from the
     // list, and lists them again later.
-    void replace_quarter(std::size_t first, Span step);
+    void replace_quarter(std::size_t first, Duration step);
     // The server hangs, leaves the list and returns under other names; its old places in the list go to
     // others.
-    void rename_server(std::size_t server, Span hang_duration, Span absence);
+    void rename_server(std::size_t server, Duration hang_duration, Duration absence);
     // The process runs and accepts calls, but does not answer them for a while.
     void mute_server(std::size_t server);
     void silence_connections(std::size_t server, double share);
     void reset_connections(std::size_t server, double share);
-    void slow_connections(std::size_t server, Span delay, Span duration);
+    void slow_connections(std::size_t server, Duration delay, Duration duration);
 
     // ---- faults of discovery
-    void write_lists_slowly(std::size_t pieces, Span interval) {
-        platform_->write_whole_lists_in_pieces(pieces, interval);
+    void write_lists_slowly(std::size_t pieces, Duration interval) {
+        platform_->set_snapshot_pieces(pieces, interval);
     }
-    void indent_lists(bool indent) { platform_->indent_lists(indent); }
-    void silence_discovery(Span duration);
-    void silence_watches() { platform_->watches_fall_silent(); }
-    void reset_watches() { platform_->watches_are_reset(); }
+    void indent_lists(bool indent) { platform_->set_list_indent(indent); }
+    void silence_discovery(Duration duration);
+    void silence_watches() { platform_->silence_watches(); }
+    void reset_watches() { platform_->reset_watches(); }
     // Moves discovery to another address, which gateways learn from a new configuration.
     void move_discovery();
 
@@ -109,11 +109,11 @@
     void gateway_ended(std::size_t gateway, int status);
     void server_ended(std::size_t server);
     void poll_ready(std::size_t gateway);
-    void record_fault(std::size_t server, Span duration);
+    void record_fault(std::size_t server, Duration duration);
     std::vector<std::string> listed_names(std::size_t server) const;
     void list_server(std::size_t server);
-    void withdraw(std::size_t server, const std::string& status, Span duration);
-    void after(Span duration, std::function<void()> action);
+    void withdraw(std::size_t server, const std::string& status, Duration duration);
+    void after(Duration duration, std::function<void()> action);
     void signal(const std::string& process, int which) { processes_.signal(process, which); }
 
     Loop& loop_;
@@ -121,12 +121,12 @@
     Records& records_;
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<std::unique_ptr<Server>> servers_;
-    std::unique_ptr<standin::Platform> platform_;
+    std::unique_ptr<fake_server::FakePlatform> platform_;
     std::vector<std::unique_ptr<Timer>> timers_;
     bool stopping_ = false;
     Instant discovery_silent_until_;
     bool cold_start_ = false;  // the list reports all servers as started just now
-    day::Processes processes_;
+    scenario::ChildProcesses processes_;
 };
 
 }  // namespace copperfront::soak
--- a/src/soak/judge.cpp
+++ b/src/soak/judge.cpp
@@ -120,27 +120,29 @@
         if (history.client == nullptr) return;
         const RequestRecord& request = *history.client;
         ++judgement_.requests;
-        judgement_.completed += request.fate == Fate::completed;
-        judgement_.rejected += request.fate == Fate::rejected;
-        judgement_.failed += request.fate == Fate::failed || request.fate == Fate::broken;
-        judgement_.left += request.fate == Fate::client_left;
+        judgement_.completed += request.fate == RequestOutcome::completed;
+        judgement_.rejected += request.fate == RequestOutcome::rejected;
+        judgement_.failed += request.fate == RequestOutcome::failed || request.fate == RequestOutcome::broken;
+        judgement_.left += request.fate == RequestOutcome::client_left;
         if (request.corrupted)
             return add_finding("lost", id, "its answer was corrupted on the way through the gateway");
-        if (request.fate == Fate::client_left) return;
+        if (request.fate == RequestOutcome::client_left) return;
         const bool killed_while_open =
             runs_until(request) < request.deadline + kAnswerAfterDeadline &&
             runs_until(request) <= std::max(request.ended, request.sent) + kMachineSlack;
-        if (request.fate == Fate::closed_unanswered) return check_closed(id, history, killed_while_open);
+        if (request.fate == RequestOutcome::closed_unanswered)
+            return check_closed(id, history, killed_while_open);
         // A request behind another answer of its connection can't be answered before that answer has ended.
         const bool is_behind_another_answer = request.is_pipelined && history.attempts.empty();
-        if (is_behind_another_answer && request.fate != Fate::broken) return;
-        if (request.fate == Fate::open) {
+        if (is_behind_another_answer && request.fate != RequestOutcome::broken) return;
+        if (request.fate == RequestOutcome::open) {
             if (runs_until(request) > request.deadline + kAnswerAfterDeadline && !has_streamed(request)) {
                 add_finding("lost", id, "no final answer by its deadline");
             }
             return;
         }
-        if (request.fate == Fate::broken && killed_while_open) return check_late_stream(id, request);
+        if (request.fate == RequestOutcome::broken && killed_while_open)
+            return check_late_stream(id, request);
         if (request.first_byte > request.deadline + kAnswerAfterDeadline) {
             add_finding("lost", id, "its answer came long after its deadline");
         }
@@ -202,7 +204,7 @@
             switch (event->event) {
                 case ServerEvent::arrived:
                     in_flight.insert(call);
-                    if (event->role == Role::writer) waiting[call] = event->at;
+                    if (event->role == Role::decode) waiting[call] = event->at;
                     break;
                 case ServerEvent::held:
                     held = true;
@@ -272,7 +274,7 @@
                            [from, until](Microseconds at) { return from <= at && at <= until; });
     }
 
-    static bool is_hand_over(const Attempt& attempt) { return attempt.arrived->role == Role::writer; }
+    static bool is_hand_over(const Attempt& attempt) { return attempt.arrived->role == Role::decode; }
     bool has_fault(const std::string& server, Microseconds from, Microseconds until) const {
         const auto it = records_.server_faults.find(server);
         return it != records_.server_faults.end() && overlaps(it->second, from, until);
@@ -295,7 +297,8 @@
                             "sent again " + std::to_string(apart / kMs) + " ms after the first");
             }
         }
-        if (first != nullptr && effect == Effect::effectful && history.client->fate == Fate::rejected) {
+        if (first != nullptr && effect == Effect::effectful &&
+            history.client->fate == RequestOutcome::rejected) {
             add_finding("duplicate", id, "rejected after an attempt that may have run");
         }
         check_overlapping_attempts(id, history);
@@ -324,7 +327,7 @@
     }
 
     void check_after_close(const std::string& id, const RequestHistory& history) {
-        if (history.client == nullptr || history.client->fate != Fate::client_left) return;
+        if (history.client == nullptr || history.client->fate != RequestOutcome::client_left) return;
         const Microseconds left = history.client->ended;
         for (const Attempt& attempt : history.attempts) {
             const Microseconds after = attempt.arrived->at - left;
--- a/src/soak/load_client.cpp
+++ b/src/soak/load_client.cpp
@@ -58,7 +58,7 @@
           if (stream_) stream_->send(std::exchange(request_remainder_, {}));
       }) {}
 
-LoadClient::~LoadClient() { Stream::hand_off(loop_, std::move(stream_), false); }
+LoadClient::~LoadClient() { Stream::detach_and_close(loop_, std::move(stream_), false); }
 
 void LoadClient::schedule_next_request() { think_timer_.set({draw_between(0, kMaxThinkTimeMs) * 1000}); }
 
@@ -84,7 +84,7 @@
     schedule_next_request();
 }
 
-void LoadClient::stream_made(Stream&) {
+void LoadClient::stream_connected(Stream&) {
     if (!stopped_) send_requests();
 }
 
@@ -99,7 +99,7 @@
     record.effect = service.effect;
     record.gateway = gateway_;
     record.gateway_life = gateway_life_;
-    record.sent = machine_clock_us();
+    record.sent = monotonic_clock_us();
     record.deadline = record.sent + deadline_ms * 1000;
     record.on_new_connection = is_new_connection_;
     record.is_pipelined = is_pipelined;
@@ -135,22 +135,23 @@
 
 void LoadClient::disconnect_early() {
     if (!stream_ || pending_.empty() || disconnect_mode_ == DisconnectMode::stays_connected) return;
-    const Microseconds now = machine_clock_us();
+    const Microseconds now = monotonic_clock_us();
     for (const PendingRequest& pending : pending_) {
         RequestRecord& record = record_of(pending);
-        record.fate = Fate::client_left;
+        record.fate = RequestOutcome::client_left;
         record.ended = now;
     }
     pending_.clear();
-    answer_timer_.off();
+    answer_timer_.cancel();
     // A client that only shuts down its sending side stays for a while to read.
-    if (disconnect_mode_ == DisconnectMode::half_close) Stream::hand_off_politely(loop_, std::move(stream_));
+    if (disconnect_mode_ == DisconnectMode::half_close)
+        Stream::detach_and_half_close(loop_, std::move(stream_));
     drop_connection(disconnect_mode_ == DisconnectMode::reset_connection);
     schedule_next_request();
 }
 
-void LoadClient::bytes_came(Stream&) {
-    while (stream_ && stream_->held() > 0) {
+void LoadClient::bytes_received(Stream&) {
+    while (stream_ && stream_->buffered() > 0) {
         // Bytes that belong to no request.
         if (pending_.empty()) return drop_connection(true);
         if (!read_answer()) return;
@@ -161,16 +162,16 @@
 bool LoadClient::read_answer() {
     PendingRequest& pending = pending_.front();
     RequestRecord& record = record_of(pending);
-    if (record.first_byte == 0) record.first_byte = machine_clock_us();
+    if (record.first_byte == 0) record.first_byte = monotonic_clock_us();
     if (!pending.answer) {
         pending.answer = std::make_unique<http::Message>(
-            http::Sort::answer, http::Bounds{8192, kMaxAnswerBytes},
+            http::MessageKind::response, http::Bounds{8192, kMaxAnswerBytes},
             [body = &pending.body](std::string_view piece) { body->append(piece); });
     }
     stream_->drain(pending.answer->take(stream_->front()));
-    if (pending.answer->trouble() != http::Trouble::none) {
+    if (pending.answer->error() != http::ParseError::none) {
         record.corrupted = true;
-        finish(Fate::failed);
+        finish(RequestOutcome::failed);
         drop_connection(true);
         schedule_next_request();
         return false;
@@ -183,34 +184,34 @@
     }
     const bool completed = head.status == 200;
     if (completed) record.corrupted = !is_intact_stream(pending.body);
-    finish(completed                                  ? Fate::completed
-           : head.status == 429 || head.status == 503 ? Fate::rejected
-                                                      : Fate::failed);
-    if (!head.keeps_open) {
-        while (!pending_.empty()) finish(Fate::closed_unanswered);
+    finish(completed                                  ? RequestOutcome::completed
+           : head.status == 429 || head.status == 503 ? RequestOutcome::rejected
+                                                      : RequestOutcome::failed);
+    if (!head.keep_alive) {
+        while (!pending_.empty()) finish(RequestOutcome::closed_unanswered);
         drop_connection(false);
     }
     if (pending_.empty()) {
         disconnect_mode_ = DisconnectMode::stays_connected;
-        answer_timer_.off();
+        answer_timer_.cancel();
         schedule_next_request();
     }
     return stream_ != nullptr;
 }
 
-void LoadClient::finish(Fate fate) {
+void LoadClient::finish(RequestOutcome fate) {
     RequestRecord& record = record_of(pending_.front());
     record.fate = fate;
-    record.ended = machine_clock_us();
+    record.ended = monotonic_clock_us();
     pending_.pop_front();
 }
 
-void LoadClient::stream_closed(Stream&, Closing, const std::string&) {
+void LoadClient::stream_closed(Stream&, CloseReason, const std::string&) {
     while (!pending_.empty()) {
         const RequestRecord& record = record_of(pending_.front());
-        finish(record.first_byte != 0 ? Fate::broken : Fate::closed_unanswered);
+        finish(record.first_byte != 0 ? RequestOutcome::broken : RequestOutcome::closed_unanswered);
     }
-    answer_timer_.off();
+    answer_timer_.cancel();
     drop_connection(false);
     schedule_next_request();
 }
@@ -223,13 +224,13 @@
 }
 
 void LoadClient::drop_connection(bool reset) {
-    disconnect_timer_.off();
-    remainder_timer_.off();
+    disconnect_timer_.cancel();
+    remainder_timer_.cancel();
     request_remainder_.clear();
     if (reset) {
         Stream::reset(loop_, std::move(stream_));
     } else {
-        Stream::hand_off(loop_, std::move(stream_), false);
+        Stream::detach_and_close(loop_, std::move(stream_), false);
     }
 }
 
--- a/src/soak/load_client.h
+++ b/src/soak/load_client.h
@@ -45,16 +45,16 @@
         std::string body;
     };
 
-    void stream_made(Stream&) override;
-    void bytes_came(Stream&) override;
-    void stream_closed(Stream&, Closing why, const std::string& what) override;
+    void stream_connected(Stream&) override;
+    void bytes_received(Stream&) override;
+    void stream_closed(Stream&, CloseReason why, const std::string& what) override;
 
     void send_or_connect();
     void connect();
     void send_requests();
     std::string next_request(bool is_pipelined);
     bool read_answer();
-    void finish(Fate fate);
+    void finish(RequestOutcome fate);
     void disconnect_early();
     void stop_waiting();
     void schedule_next_request();
--- a/src/soak/model_server.cpp
+++ b/src/soak/model_server.cpp
@@ -18,8 +18,8 @@
 namespace copperfront::soak {
 namespace {
 
-using standin::chunk;
-using standin::response;
+using fake_server::chunk;
+using fake_server::response;
 
 constexpr std::size_t kMaxInputBytes = 1 << 20;
 constexpr const char* kStatesPath = "/bootstrap/rooms/";
@@ -81,7 +81,7 @@
     void record(ServerEvent event, const std::string& request, std::uint64_t call,
                 std::int64_t time_left_ms = -1) const {
         ServerRecord entry;
-        entry.at = machine_clock_us();
+        entry.at = monotonic_clock_us();
         entry.event = event;
         entry.request = request.empty() ? "-" : request;
         entry.server = options.name;
@@ -111,8 +111,8 @@
     Loop& loop;
     const ModelServerOptions options;
     std::minstd_rand random;
-    standin::FolderMarkerStore markers;
-    standin::HeldStates held_states;
+    fake_server::FolderMarkerStore markers;
+    fake_server::HeldStates held_states;
     Instant silent_until;
     int records = -1;
     // Distinct from the calls of an earlier process of the same name.
@@ -127,27 +127,27 @@
         stream_ = Stream::accepted(impl.loop, fd, {0, kMaxInputBytes}, *this);
     }
     std::unique_ptr<Stream> take_stream() {
-        step_timer_.off();
+        step_timer_.cancel();
         return std::move(stream_);
     }
-    void bytes_came(Stream&) override { read_requests(); }
-    void stream_closed(Stream&, Closing, const std::string&) override {
+    void bytes_received(Stream&) override { read_requests(); }
+    void stream_closed(Stream&, CloseReason, const std::string&) override {
         if (busy_) {
             impl_.record(ServerEvent::closed, request_, call_);
-            impl_.held_states.attempt_over(request_, attempt_name());
+            impl_.held_states.attempt_ended(request_, attempt_name());
         }
         impl_.drop(*this, false);
     }
 
   private:
     void read_requests() {
-        while (stream_ && !busy_ && !silenced_ && stream_->held() > 0) {
+        while (stream_ && !busy_ && !silenced_ && stream_->buffered() > 0) {
             if (!message_) {
-                message_ = std::make_unique<http::Message>(http::Sort::call, http::Bounds{16384, 256 << 10},
-                                                           nullptr);
+                message_ = std::make_unique<http::Message>(http::MessageKind::request,
+                                                           http::Bounds{16384, 256 << 10}, nullptr);
             }
             stream_->drain(message_->take(stream_->front()));
-            if (message_->trouble() != http::Trouble::none) return impl_.drop(*this, false);
+            if (message_->error() != http::ParseError::none) return impl_.drop(*this, false);
             if (message_->done()) handle_call();
         }
     }
@@ -166,12 +166,12 @@
         // Recorded before any effect that other servers see: this process may be stopped at any point.
         impl_.record(ServerEvent::arrived, request_, call_, left ? std::atoll(left->c_str()) : -1);
         // A hand-over waits for the state from its arrival on: a release that is read next frees nothing.
-        const bool is_hand_over = impl_.options.role == Role::writer;
+        const bool is_hand_over = impl_.options.role == Role::decode;
         const bool has_state = is_hand_over && impl_.held_states.hand_over_arrived(request_, attempt_name());
         start_work(has_state);
     }
 
-    std::string attempt_name() const { return standin::FolderMarkerStore::attempt_name(call_); }
+    std::string attempt_name() const { return fake_server::FolderMarkerStore::attempt_name(call_); }
 
     void release(const std::string& request) {
         const ReleaseFault fault = impl_.draw_release_fault();
@@ -181,7 +181,7 @@
         }
         if (fault == ReleaseFault::error) return stream_->send(response(500, "", ""));
         const auto effect = impl_.held_states.release(request);
-        const bool kept = effect == standin::HeldStates::ReleaseEffect::kept;
+        const bool kept = effect == fake_server::HeldStates::ReleaseEffect::kept;
         impl_.record(kept ? ServerEvent::release_kept : ServerEvent::released, request, call_);
         const std::string answer = "HTTP/1.1 204 No Content\r\n\r\n";
         if (fault != ReleaseFault::answer_truncated) return stream_->send(answer);
@@ -194,7 +194,7 @@
         events_sent_ = 0;
         has_taken_state_ = false;
         if (fault_ == CallFault::rejected || fault_ == CallFault::rejected_truncated) return reject(503);
-        const bool prefill = impl_.options.role == Role::reader;
+        const bool prefill = impl_.options.role == Role::prefill;
         // A hand-over cannot run without its state, whatever other fault it would meet.
         if (!prefill && !has_state) return reject(410);
         if (fault_ == CallFault::error) return finish(response(500, "", ""));
@@ -211,7 +211,7 @@
     void continue_work() {
         if (!stream_) return;
         if (!busy_) return stream_->send(response(200, "", "another"));
-        if (impl_.options.role == Role::reader) return end_prefill();
+        if (impl_.options.role == Role::prefill) return end_prefill();
         if (!has_taken_state_) return take_state();
         send_next_event();
     }
@@ -223,13 +223,13 @@
         impl_.record(ServerEvent::taken, request_, call_);
         if (fault_ == CallFault::never_answered) return;
         if (fault_ == CallFault::interim_only) return stream_->send(kInterimResponse);
-        if (fault_ == CallFault::head_only) return stream_->send(standin::kEventStreamHead);
+        if (fault_ == CallFault::head_only) return stream_->send(fake_server::kEventStreamHead);
         if (fault_ == CallFault::chunk_size_only) {
-            return stream_->send(std::string(standin::kEventStreamHead) + "40\r\n");
+            return stream_->send(std::string(fake_server::kEventStreamHead) + "40\r\n");
         }
         if (fault_ == CallFault::half_event) {
             const std::string whole = chunk(event(1, false));
-            return stream_->send(standin::kEventStreamHead + whole.substr(0, whole.size() / 2));
+            return stream_->send(fake_server::kEventStreamHead + whole.substr(0, whole.size() / 2));
         }
         step_timer_.set({impl_.draw_between(2, 30) * 1000});
     }
@@ -261,7 +261,7 @@
     // The server has finished the call; a part of its answer is sent, and the connection stays open.
     void send_part_and_stall(const std::string& answer) {
         impl_.record(ServerEvent::ended, request_, call_);
-        impl_.held_states.attempt_over(request_, attempt_name());
+        impl_.held_states.attempt_ended(request_, attempt_name());
         stream_->send(answer == kInterimResponse ? answer : answer.substr(0, random_prefix_length(answer)));
         busy_ = false;
         silenced_ = true;
@@ -279,7 +279,7 @@
             stream_->send("%\x01 what is this\r\n\r\n");
             return;
         }
-        if (events_sent_ == 0) stream_->send(standin::kEventStreamHead);
+        if (events_sent_ == 0) stream_->send(fake_server::kEventStreamHead);
         if (events_sent_ == 1 && fault_ == CallFault::answer_half_sent) return;
         if (events_sent_ == 1 &&
             (fault_ == CallFault::resets_mid_stream || fault_ == CallFault::answer_truncated)) {
@@ -299,7 +299,7 @@
 
     void reject(int status) {
         impl_.record(ServerEvent::never_ran, request_, call_);
-        impl_.held_states.attempt_over(request_, attempt_name());
+        impl_.held_states.attempt_ended(request_, attempt_name());
         if (fault_ == CallFault::rejected_truncated) {
             const std::string answer = response(status, kUnprocessedHeader, "not now");
             stream_->send(answer.substr(0, answer.size() - 3));
@@ -312,14 +312,14 @@
     }
     void finish(const std::string& bytes) {
         impl_.record(ServerEvent::ended, request_, call_);
-        impl_.held_states.attempt_over(request_, attempt_name());
+        impl_.held_states.attempt_ended(request_, attempt_name());
         stream_->send(bytes);
         read_next_call();
         if (fault_ == CallFault::second_answer) step_timer_.set({impl_.draw_between(1, 12) * 1000});
     }
     void end_connection(bool reset) {
         impl_.record(ServerEvent::ended, request_, call_);
-        impl_.held_states.attempt_over(request_, attempt_name());
+        impl_.held_states.attempt_ended(request_, attempt_name());
         impl_.drop(*this, reset);
     }
     void read_next_call() {
@@ -352,9 +352,9 @@
     if (reset) {
         Stream::reset(loop, connection.take_stream());
     } else {
-        Stream::hand_off(loop, connection.take_stream(), true);
+        Stream::detach_and_close(loop, connection.take_stream(), true);
     }
-    loop.bury(std::move(it->second));
+    loop.delete_later(std::move(it->second));
     connections.erase(it);
 }
 
@@ -370,7 +370,7 @@
 
 ModelServer::~ModelServer() = default;
 
-void ModelServer::fall_silent(Span span) { impl_->silent_until = impl_->loop.now() + span; }
+void ModelServer::stop_answering(Duration span) { impl_->silent_until = impl_->loop.now() + span; }
 
 Address ModelServer::address() const { return impl_->listener->address(); }
 
--- a/src/soak/model_server.h
+++ b/src/soak/model_server.h
@@ -15,7 +15,7 @@
 
 struct ModelServerOptions {
     std::string name;
-    Role role = Role::reader;
+    Role role = Role::prefill;
     std::string listen = "127.0.0.1:0";
     std::string states_folder;
     std::string records_file;  // opened for appending
@@ -25,14 +25,14 @@
 
 class ModelServer {
   public:
-    // Throws NetTrouble if it cannot listen, std::runtime_error if its files cannot be opened.
+    // Throws NetworkError if it cannot listen, std::runtime_error if its files cannot be opened.
     ModelServer(Loop& loop, const ModelServerOptions& options);
     ~ModelServer();
     ModelServer(const ModelServer&) = delete;
     ModelServer& operator=(const ModelServer&) = delete;
     Address address() const;
     // For this long calls are accepted and none is answered: hand-overs wait, prefills leave their state.
-    void fall_silent(Span span);
+    void stop_answering(Duration span);
 
   private:
     class Connection;
--- a/src/soak/records.cpp
+++ b/src/soak/records.cpp
@@ -38,7 +38,7 @@
 std::string line_of(const ServerRecord& record) {
     std::ostringstream line;
     line << record.at << ' ' << text_of(record.event) << ' ' << record.request << ' ' << record.server << ' '
-         << (record.role == Role::reader ? "prefill" : "decode") << ' ' << record.call << ' '
+         << (record.role == Role::prefill ? "prefill" : "decode") << ' ' << record.call << ' '
          << record.time_left_ms << ' ' << kLineEndMarker << '\n';
     return line.str();
 }
@@ -52,25 +52,25 @@
     const std::optional<ServerEvent> known = server_event_of(event);
     if (!known || end != kLineEndMarker) return std::nullopt;
     record.event = *known;
-    record.role = role == "prefill" ? Role::reader : Role::writer;
+    record.role = role == "prefill" ? Role::prefill : Role::decode;
     return record;
 }
 
-const char* text_of(Fate fate) {
+const char* text_of(RequestOutcome fate) {
     switch (fate) {
-        case Fate::open:
+        case RequestOutcome::open:
             return "open";
-        case Fate::completed:
+        case RequestOutcome::completed:
             return "completed";
-        case Fate::broken:
+        case RequestOutcome::broken:
             return "broken off";
-        case Fate::rejected:
+        case RequestOutcome::rejected:
             return "rejected";
-        case Fate::failed:
+        case RequestOutcome::failed:
             return "failed";
-        case Fate::closed_unanswered:
+        case RequestOutcome::closed_unanswered:
             return "closed unanswered";
-        case Fate::client_left:
+        case RequestOutcome::client_left:
             return "client left";
     }
     return "";
--- a/src/soak/records.h
+++ b/src/soak/records.h
@@ -32,7 +32,7 @@
     Microseconds at = 0;
     ServerEvent event = ServerEvent::arrived;
     std::string request, server;
-    Role role = Role::reader;
+    Role role = Role::prefill;
     std::uint64_t call = 0;          // number of the call in this server process
     std::int64_t time_left_ms = -1;  // as the gateway reported it; -1: not reported
 };
@@ -40,7 +40,7 @@
 std::string line_of(const ServerRecord& record);
 std::optional<ServerRecord> record_of(const std::string& line);
 
-enum class Fate {
+enum class RequestOutcome {
     open,               // no final answer by the end of the run
     completed,          // a stream up to its last event and chunk
     broken,             // a stream that ended without its last chunk
@@ -49,7 +49,7 @@
     closed_unanswered,  // the gateway closed the connection before the first byte of an answer
     client_left,
 };
-const char* text_of(Fate fate);
+const char* text_of(RequestOutcome fate);
 
 struct RequestRecord {
     std::string request;
@@ -58,7 +58,7 @@
     std::uint32_t gateway_life = 0;
     Microseconds sent = 0, deadline = 0, first_byte = 0, ended = 0;
     bool on_new_connection = false, is_pipelined = false;
-    Fate fate = Fate::open;
+    RequestOutcome fate = RequestOutcome::open;
     bool corrupted = false;  // events lost, out of order, or of more than one attempt
 };
 
--- a/src/soak/soak_run.cpp
+++ b/src/soak/soak_run.cpp
@@ -14,12 +14,12 @@
 namespace copperfront::soak {
 namespace {
 
-constexpr Span kMs{1000};
-constexpr Span kReadyTimeout = kMs * 20000;
-constexpr Span kLastRequestsTimeout =
+constexpr Duration kMs{1000};
+constexpr Duration kReadyTimeout = kMs * 20000;
+constexpr Duration kLastRequestsTimeout =
     kMs * 4500;  // the longest deadline, and how long a client waits past it
-constexpr Span kExitTimeout = kMs * 5000;
-constexpr Span kPollInterval = kMs * 20;
+constexpr Duration kExitTimeout = kMs * 5000;
+constexpr Duration kPollInterval = kMs * 20;
 constexpr int kIdleConnectionCount = 300;
 constexpr int kRenamedServers = 4;
 constexpr int kStalledClients = 3;
@@ -39,9 +39,9 @@
   private:
     struct Connection : Stream::Owner {
         explicit Connection(Loop& the_loop) : loop(the_loop) {}
-        ~Connection() override { Stream::hand_off(loop, std::move(stream), false); }
-        void bytes_came(Stream& s) override { s.drain(s.held()); }
-        void stream_closed(Stream&, Closing, const std::string&) override {}
+        ~Connection() override { Stream::detach_and_close(loop, std::move(stream), false); }
+        void bytes_received(Stream& s) override { s.drain(s.buffered()); }
+        void stream_closed(Stream&, CloseReason, const std::string&) override {}
         Loop& loop;
         std::unique_ptr<Stream> stream;
     };
@@ -63,7 +63,7 @@
     }
     void start() { next_fault_.set(kMs * 300); }
     void stop() {
-        next_fault_.off();
+        next_fault_.cancel();
         idle_connections_.reset();
     }
 
@@ -103,7 +103,7 @@
     std::int64_t draw_between(std::int64_t least, std::int64_t most) {
         return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
     }
-    Span random_duration(std::int64_t least_ms, std::int64_t most_ms) {
+    Duration random_duration(std::int64_t least_ms, std::int64_t most_ms) {
         return kMs * static_cast<double>(draw_between(least_ms, most_ms));
     }
     std::size_t any_server() {
@@ -184,7 +184,7 @@
     // Most servers of a role hang at once.
     void pause_role() {
         const bool prefill = draw_between(0, 1) == 0;
-        const Span time = random_duration(500, 3000);
+        const Duration time = random_duration(500, 3000);
         for (std::size_t server = 0; server < fleet_.server_count(); ++server) {
             if (fleet_.is_prefill(server) != prefill) continue;
             if (std::uniform_real_distribution<double>(0, 1)(random_) < kHungRoleShare) {
@@ -243,7 +243,7 @@
 
 // False: the condition was not met within the limit.
 template <class Condition>
-bool wait_for(Loop& loop, Condition condition, Span limit) {
+bool wait_for(Loop& loop, Condition condition, Duration limit) {
     const Instant until = loop.now() + limit;
     bool done = condition();
     while (!done && loop.now() < until) {
@@ -288,7 +288,7 @@
 
 }  // namespace
 
-std::map<std::string, std::size_t> faults_met(const std::string& folder) {
+std::map<std::string, std::size_t> shim_fault_counts(const std::string& folder) {
     std::map<std::string, std::size_t> counts;
     for (const auto& entry : std::filesystem::directory_iterator(folder)) {
         if (entry.path().extension() != ".shim") continue;
@@ -348,7 +348,7 @@
         // States that are held after the last answers have their time to be released too.
         wait_for(
             loop, [] { return false; }, kMs * 1600);
-        records.ended = machine_clock_us();
+        records.ended = monotonic_clock_us();
         fleet.stop_all_gateways();
         wait_for(
             loop, [&] { return fleet.gateways_have_exited(); }, kExitTimeout);
--- a/src/soak/soak_run.h
+++ b/src/soak/soak_run.h
@@ -25,7 +25,7 @@
 };
 
 // How often each system call failed under the shim in the run with this folder.
-std::map<std::string, std::size_t> faults_met(const std::string& folder);
+std::map<std::string, std::size_t> shim_fault_counts(const std::string& folder);
 
 // Throws std::runtime_error if the fleet cannot be started.
 Judgement run_soak(const SoakOptions& options);
--- a/src/soak/stalled_client.h
+++ b/src/soak/stalled_client.h
@@ -20,9 +20,9 @@
     ~StalledClient() override;
 
   private:
-    void stream_made(Stream&) override;
-    void bytes_came(Stream& stream) override;
-    void stream_closed(Stream&, Closing why, const std::string& what) override;
+    void stream_connected(Stream&) override;
+    void bytes_received(Stream& stream) override;
+    void stream_closed(Stream&, CloseReason why, const std::string& what) override;
     void end();
 
     Loop& loop_;
--- a/src/standin/engine_model.cpp
+++ b/src/standin/engine_model.cpp
@@ -3,39 +3,41 @@
 #include <algorithm>
 #include <cmath>
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 namespace {
 
 constexpr double kCachedTokenCost = 0.1;  // share of its cost that a cached token still costs
 constexpr double kOverloadSlackJobs = 4;  // tolerance for random bursts, in jobs of mean size
 
-Span ms(double x) { return {static_cast<std::int64_t>(x * 1000)}; }
-double seconds(Span s) { return static_cast<double>(s.us) / 1e6; }
+Duration ms(double x) { return {static_cast<std::int64_t>(x * 1000)}; }
+double seconds(Duration s) { return static_cast<double>(s.us) / 1e6; }
 
 }  // namespace
 
-ModelServerSimulation::ModelServerSimulation(const EngineShape& shape, Host& host, Instant started_at)
+ModelServerSimulation::ModelServerSimulation(const ModelServerProfile& shape, Host& host, Instant started_at)
     : shape_(shape), host_(host), started_at_(started_at) {}
 
 double ModelServerSimulation::speed() const {
-    const Span age = host_.now() - started_at_;
-    if (shape_.warm_in.us <= 0 || age >= shape_.warm_in) return 1;
-    return shape_.cold_from + (1 - shape_.cold_from) * (age / shape_.warm_in);
+    const Duration age = host_.now() - started_at_;
+    if (shape_.warm_up_time.us <= 0 || age >= shape_.warm_up_time) return 1;
+    return shape_.cold_speed_share + (1 - shape_.cold_speed_share) * (age / shape_.warm_up_time);
 }
 
 // All work that reaches a cold server counts, rejected work included.
 bool ModelServerSimulation::crashes_under(double work) {
-    if (shape_.tip_multiple <= 0 || shape_.warm_in.us <= 0 || host_.now() - started_at_ >= shape_.warm_in)
+    if (shape_.overload_multiple <= 0 || shape_.warm_up_time.us <= 0 ||
+        host_.now() - started_at_ >= shape_.warm_up_time)
         return false;
     const Instant now = host_.now();
     recent_work_.emplace_back(now, work);
     recent_work_total_ += work;
-    while (!recent_work_.empty() && now - recent_work_.front().first > shape_.fall) {
+    while (!recent_work_.empty() && now - recent_work_.front().first > shape_.overload_window) {
         recent_work_total_ -= recent_work_.front().second;
         recent_work_.pop_front();
     }
     // The work that it could do in this window at its present speed: a little more than it really could.
-    const double budget = shape_.tip_multiple * shape_.capacity() * speed() * seconds(shape_.fall);
+    const double budget =
+        shape_.overload_multiple * shape_.capacity() * speed() * seconds(shape_.overload_window);
     const double mean = recent_work_total_ / static_cast<double>(recent_work_.size());
     if (recent_work_total_ <= budget + kOverloadSlackJobs * mean) return false;
     has_crashed_ = true;
@@ -48,9 +50,9 @@
     if (const auto it = prefix_positions_.find("s/" + job.session);
         !job.session.empty() && it != prefix_positions_.end())
         cached = it->second->second;
-    if (const auto it = prefix_positions_.find("b/" + job.beginning);
-        !job.beginning.empty() && it != prefix_positions_.end())
-        cached = std::max(cached, std::min(it->second->second, job.beginning_tokens));
+    if (const auto it = prefix_positions_.find("b/" + job.shared_prefix);
+        !job.shared_prefix.empty() && it != prefix_positions_.end())
+        cached = std::max(cached, std::min(it->second->second, job.shared_prefix_tokens));
     return std::min(cached, job.prompt_tokens);
 }
 
@@ -63,7 +65,7 @@
     cached_prefixes_.emplace_front(name, tokens);
     prefix_positions_[name] = cached_prefixes_.begin();
     cached_prefix_tokens_ += tokens;
-    while (cached_prefix_tokens_ > shape_.kept_tokens && !cached_prefixes_.empty()) {
+    while (cached_prefix_tokens_ > shape_.cache_capacity_tokens && !cached_prefixes_.empty()) {
         cached_prefix_tokens_ -= cached_prefixes_.back().second;
         prefix_positions_.erase(cached_prefixes_.back().first);
         cached_prefixes_.pop_back();
@@ -72,7 +74,7 @@
 
 void ModelServerSimulation::cache_prefixes(const Job& job) {
     if (!job.session.empty()) cache_prefix("s/" + job.session, job.prompt_tokens);
-    if (!job.beginning.empty()) cache_prefix("b/" + job.beginning, job.beginning_tokens);
+    if (!job.shared_prefix.empty()) cache_prefix("b/" + job.shared_prefix, job.shared_prefix_tokens);
 }
 
 void ModelServerSimulation::clear_prefix_cache() {
@@ -95,7 +97,7 @@
 
 bool ModelServerSimulation::admit(JobId id, const Job& job, double work) {
     if (has_crashed_ || crashes_under(work)) return false;
-    if (jobs_.size() >= shape_.slots + shape_.queue) {
+    if (jobs_.size() >= shape_.slots + shape_.queue_capacity) {
         host_.job_rejected(id, "queue full");
         return false;
     }
@@ -124,7 +126,8 @@
         memory_held_ += active.job.prompt_tokens;
         const double tokens = active.job.prompt_tokens - active.cached * (1 - kCachedTokenCost);
         prefilling_job_ = id;
-        prefill_done_at_ = now + ms(shape_.step_ms + tokens / shape_.read_per_s * 1000 * slowdown_ / speed());
+        prefill_done_at_ =
+            now + ms(shape_.step_ms + tokens / shape_.prefill_tokens_per_s * 1000 * slowdown_ / speed());
     }
 }
 
@@ -149,7 +152,7 @@
         } else {
             // The server prefills the prompt itself, which takes time before the stream joins the steps.
             active.ready_at =
-                now + ms(active.job.prompt_tokens / shape_.read_per_s * 1000 * slowdown_ / speed());
+                now + ms(active.job.prompt_tokens / shape_.prefill_tokens_per_s * 1000 * slowdown_ / speed());
             state_fetched(id);
         }
     }
@@ -216,7 +219,7 @@
 
 void ModelServerSimulation::cancelled(JobId id) {
     drop(id);
-    if (shape_.role == Role::reader)
+    if (shape_.role == Role::prefill)
         start_prefills();
     else
         start_decodes();
@@ -264,9 +267,9 @@
 
 LoadReport ModelServerSimulation::report() const {
     double queued_tokens = 0;
-    if (shape_.role == Role::reader)
+    if (shape_.role == Role::prefill)
         for (const auto& [id, active] : jobs_) queued_tokens += active.job.prompt_tokens;
     return {std::min(1.0, memory_held_ / shape_.memory_tokens), queued_tokens / 1000};
 }
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -14,35 +14,35 @@
 
 #include "core/rules.h"
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 
-struct EngineShape {
-    Role role = Role::reader;
-    std::size_t slots = 8, queue = 40;
+struct ModelServerProfile {
+    Role role = Role::prefill;
+    std::size_t slots = 8, queue_capacity = 40;
     double memory_tokens = 200000;
-    double kept_tokens = 150000;  // of cached prefixes; the oldest are evicted first
-    double read_per_s = 20000;    // prompt tokens
-    double step_ms = 12;          // a decode step with one stream
+    double cache_capacity_tokens = 150000;  // of cached prefixes; the oldest are evicted first
+    double prefill_tokens_per_s = 20000;    // prompt tokens
+    double step_ms = 12;                    // a decode step with one stream
     double step_ms_per_stream = 0.2;
-    double cold_from = 0.3;   // share of its full speed at the start, which rises linearly to 1
-    Span warm_in;             // 0: warm from the start
-    double tip_multiple = 0;  // crashes past this multiple of what it can do; 0: never
-    Span fall;
+    double cold_speed_share = 0.3;  // share of its full speed at the start, which rises linearly to 1
+    Duration warm_up_time;          // 0: warm from the start
+    double overload_multiple = 0;   // crashes past this multiple of what it can do; 0: never
+    Duration overload_window;
 
     // Work per second when warm: prompt tokens prefilled, or answer tokens decoded.
     double capacity() const {
-        return role == Role::reader ? read_per_s
-                                    : 1000.0 * static_cast<double>(slots) /
-                                          (step_ms + step_ms_per_stream * static_cast<double>(slots));
+        return role == Role::prefill ? prefill_tokens_per_s
+                                     : 1000.0 * static_cast<double>(slots) /
+                                           (step_ms + step_ms_per_stream * static_cast<double>(slots));
     }
 };
 
 using JobId = std::uint64_t;
 
 struct Job {
-    std::string session, beginning, state;
-    double prompt_tokens = 0, beginning_tokens = 0, answer_tokens = 0;
-    Span limit;  // 0: none
+    std::string session, shared_prefix, state;
+    double prompt_tokens = 0, shared_prefix_tokens = 0, answer_tokens = 0;
+    Duration limit;  // 0: none
 };
 
 class ModelServerSimulation {
@@ -62,7 +62,7 @@
         virtual void crashed() = 0;
     };
 
-    ModelServerSimulation(const EngineShape& shape, Host& host, Instant started_at);
+    ModelServerSimulation(const ModelServerProfile& shape, Host& host, Instant started_at);
 
     void prefill_arrived(JobId id, const Job& job);
     // Decodes from a state that is to be fetched, or from the prompt where there is no state.
@@ -105,7 +105,7 @@
     void schedule_wakeup();
     void drop(JobId id);
 
-    const EngineShape shape_;
+    const ModelServerProfile shape_;
     Host& host_;
     const Instant started_at_;
     double slowdown_ = 1;
@@ -126,4 +126,4 @@
     double recent_work_total_ = 0;
 };
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/engine_server.h
+++ b/src/standin/engine_server.h
@@ -14,24 +14,24 @@
 #include "rpc/wire.h"
 #include "standin/engine_model.h"
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 
-enum class Reports { none, inline_, on_probe };
+enum class LoadReportMode { none, inline_, on_probe };
 
-struct EngineIdentity {
+struct FakeModelServerOptions {
     std::string name, zone, cell, listen = "127.0.0.1:0", record;
     std::uint32_t seed = 1;
-    Reports reports = Reports::none;
-    double fetch_per_s = 300000;  // tokens of a state that are transferred per second
-    bool cold = false;            // starts cold; otherwise it counts as started long ago
+    LoadReportMode reports = LoadReportMode::none;
+    double transfer_tokens_per_s = 300000;  // tokens of a state that are transferred per second
+    bool cold = false;                      // starts cold; otherwise it counts as started long ago
 };
 
-class EngineServer : private ModelServerSimulation::Host {
+class FakeModelServer : private ModelServerSimulation::Host {
   public:
-    EngineServer(Loop& loop, const EngineShape& shape, const EngineIdentity& identity);
-    ~EngineServer() override;
+    FakeModelServer(Loop& loop, const ModelServerProfile& shape, const FakeModelServerOptions& identity);
+    ~FakeModelServer() override;
     Address address() const { return listener_.address(); }
-    std::int64_t born_ms() const { return born_ms_; }
+    std::int64_t started_at_ms() const { return started_at_ms_; }
     // Writes the end mark and stops the loop.
     void stop();
 
@@ -41,7 +41,7 @@
     struct ActiveCall {
         std::uint64_t peer = 0;
         rpc::Id id;
-        rpc::Order order;
+        rpc::AttemptRequest order;
         bool is_prefill = false;
     };
 
@@ -64,7 +64,7 @@
     void set_partitioned_zone(const std::string& zone);
     void free_abandoned_states();
     LoadReport load_report_for_answer() const {
-        return identity_.reports == Reports::inline_ ? simulation_.report() : LoadReport{};
+        return identity_.reports == LoadReportMode::inline_ ? simulation_.report() : LoadReport{};
     }
     // Sends the answer of a job and forgets the job; a fault may drop the answer.
     void send_answer(JobId job, const std::string& line, const char* how,
@@ -73,10 +73,10 @@
     double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
     Loop& loop_;
-    const EngineShape shape_;
-    const EngineIdentity identity_;
+    const ModelServerProfile shape_;
+    const FakeModelServerOptions identity_;
     Recorder record_;
-    const std::int64_t born_ms_;
+    const std::int64_t started_at_ms_;
     ModelServerSimulation simulation_;
     Listener listener_;
     Timer wake_timer_, abandoned_timer_, ageing_timer_;
@@ -95,9 +95,9 @@
     // Active faults.
     double error_share_ = 0, lost_answer_share_ = 0, slowdown_ = 1, ageing_factor_ = 1;
     bool lost_answers_reset_ = false, hung_ = false;
-    Span hello_delay_, ageing_duration_;
+    Duration hello_delay_, ageing_duration_;
     Instant ageing_since_;
     std::string partitioned_zone_;  // the zone that is cut off from all others
 };
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/held_states.cpp
+++ b/src/standin/held_states.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 namespace {
 
 const std::string kHoldMarker = "holds.";
@@ -39,23 +39,23 @@
 
 // ---- in one process
 
-void MemoryMarkStore::add(const std::string& request, const std::string& marker) {
+void MemoryMarkerStore::add(const std::string& request, const std::string& marker) {
     markers_[request].insert(marker);
 }
 
-bool MemoryMarkStore::remove(const std::string& request, const std::string& marker) {
+bool MemoryMarkerStore::remove(const std::string& request, const std::string& marker) {
     const auto it = markers_.find(request);
     if (it == markers_.end() || it->second.erase(marker) == 0) return false;
     if (it->second.empty()) markers_.erase(it);
     return true;
 }
 
-std::set<std::string> MemoryMarkStore::markers(const std::string& request) const {
+std::set<std::string> MemoryMarkerStore::markers(const std::string& request) const {
     const auto it = markers_.find(request);
     return it == markers_.end() ? std::set<std::string>{} : it->second;
 }
 
-std::vector<std::string> MemoryMarkStore::requests() const {
+std::vector<std::string> MemoryMarkerStore::requests() const {
     std::vector<std::string> found;
     for (const auto& [request, markers] : markers_) found.push_back(request);
     return found;
@@ -113,11 +113,11 @@
 
 bool HeldStates::fetch(const std::string& request, const std::string& attempt) {
     const bool taken = drop_states(request);
-    attempt_over(request, attempt);
+    attempt_ended(request, attempt);
     return taken;
 }
 
-void HeldStates::attempt_over(const std::string& request, const std::string& attempt) {
+void HeldStates::attempt_ended(const std::string& request, const std::string& attempt) {
     store_.remove(request, kWaitMarker + attempt);
 }
 
@@ -136,4 +136,4 @@
     return any;
 }
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/held_states.h
+++ b/src/standin/held_states.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 
 // Markers that fake servers leave for a request. Markers of dead processes may be left out.
 class MarkerStore {
@@ -22,7 +22,7 @@
 };
 
 // Keeps markers in one process.
-class MemoryMarkStore final : public MarkerStore {
+class MemoryMarkerStore final : public MarkerStore {
   public:
     void add(const std::string& request, const std::string& marker) override;
     bool remove(const std::string& request, const std::string& marker) override;
@@ -61,7 +61,7 @@
     // The hand-over takes the state. False: the state is gone by now.
     bool fetch(const std::string& request, const std::string& attempt);
     // Answered, rejected, or its connection has ended.
-    void attempt_over(const std::string& request, const std::string& attempt);
+    void attempt_ended(const std::string& request, const std::string& attempt);
 
     enum class ReleaseEffect {
         nothing_held,
@@ -78,4 +78,4 @@
     MarkerStore& store_;
 };
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -6,7 +6,7 @@
 
 #include "standin/response_text.h"
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 namespace {
 
 using Json = nlohmann::json;
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-class Platform::ServerConnection : public Stream::Owner {
+class FakePlatform::ServerConnection : public Stream::Owner {
   public:
-    ServerConnection(Platform& platform, std::string server, Role role, int fd)
+    ServerConnection(FakePlatform& platform, std::string server, Role role, int fd)
         : platform_(platform),
           server_(std::move(server)),
           role_(role),
@@ -39,12 +39,12 @@
     }
     const std::string& server() const { return server_; }
     std::unique_ptr<Stream> take_stream() {
-        step_timer_.off();
+        step_timer_.cancel();
         return std::move(stream_);
     }
-    void bytes_came(Stream&) override { read_requests(); }
-    void stream_closed(Stream&, Closing, const std::string&) override { platform_.drop(*this, false); }
-    void end_attempt() { platform_.held_states_.attempt_over(id_, attempt_name()); }
+    void bytes_received(Stream&) override { read_requests(); }
+    void stream_closed(Stream&, CloseReason, const std::string&) override { platform_.drop(*this, false); }
+    void end_attempt() { platform_.held_states_.attempt_ended(id_, attempt_name()); }
 
   private:
     void read_requests() {
@@ -52,11 +52,11 @@
             const std::string_view bytes = stream_->front();
             if (bytes.empty()) return;
             if (!message_)
-                message_ =
-                    std::make_unique<http::Message>(http::Sort::call, http::Bounds{16384, 256 << 10},
-                                                    [this](std::string_view piece) { body_.append(piece); });
+                message_ = std::make_unique<http::Message>(
+                    http::MessageKind::request, http::Bounds{16384, 256 << 10},
+                    [this](std::string_view piece) { body_.append(piece); });
             stream_->drain(message_->take(bytes));
-            if (message_->trouble() != http::Trouble::none) return platform_.drop(*this, false);
+            if (message_->error() != http::ParseError::none) return platform_.drop(*this, false);
             if (message_->done()) handle_request();
         }
     }
@@ -68,7 +68,7 @@
                                  -1,      platform_.loop_.now(), number_};
         if (const std::string* id = head.find("X-Correlation-Id")) received.id = *id;
         if (const std::string* left = head.find("X-Time-Left-Ms"))
-            received.left_ms = std::atoll(left->c_str());
+            received.time_left_ms = std::atoll(left->c_str());
         if (head.target.rfind(kStatesPath, 0) == 0) received.id = head.target.substr(kStatesPath.size());
         id_ = received.id;
         if (platform_.received_.size() < kMaxReceived) platform_.received_.push_back(std::move(received));
@@ -80,9 +80,9 @@
         fault_ = platform_.fault_for(server_);
         const std::string unprocessed_header = "X-Unprocessed: 1\r\n";
         switch (fault_) {
-            case Fault::turned_away:
+            case Fault::rejected:
                 return stream_->send(response(503, unprocessed_header, ""));
-            case Fault::turned_away_ran:
+            case Fault::rejected_may_have_run:
                 store_state();
                 return stream_->send(response(503, "", ""));
             case Fault::error:
@@ -90,18 +90,18 @@
                 return stream_->send(response(500, "", ""));
             case Fault::no_state:
                 return stream_->send(response(410, unprocessed_header, ""));
-            case Fault::silent:
+            case Fault::never_answered:
                 store_state();
                 busy_ = true;
-                if (role_ == Role::writer) platform_.held_states_.hand_over_arrived(id_, attempt_name());
+                if (role_ == Role::decode) platform_.held_states_.hand_over_arrived(id_, attempt_name());
                 return;
-            case Fault::closes:
+            case Fault::closes_unanswered:
                 store_state();
                 return platform_.drop(*this, false);
-            case Fault::resets:
+            case Fault::resets_unanswered:
                 store_state();
                 return platform_.drop(*this, true);
-            case Fault::noise:
+            case Fault::not_http:
                 store_state();
                 busy_ = true;
                 return stream_->send("%\x01 what is this\r\n\r\n\r\n");
@@ -112,7 +112,7 @@
             case Fault::interim:
                 stream_->send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
                 break;
-            case Fault::no_event:
+            case Fault::invalid_event:
                 store_state();
                 busy_ = true;
                 return stream_->send(kEventStreamHead + chunk("what is this\n\n"));
@@ -121,14 +121,15 @@
         }
         busy_ = true;
         sent_events_ = 0;
-        if (role_ == Role::writer && !platform_.held_states_.hand_over_arrived(id_, attempt_name())) {
+        if (role_ == Role::decode && !platform_.held_states_.hand_over_arrived(id_, attempt_name())) {
             return reject_without_state();
         }
-        step_timer_.set(role_ == Role::reader ? platform_.shape_.read : platform_.shape_.first);
+        step_timer_.set(role_ == Role::prefill ? platform_.shape_.prefill_time
+                                               : platform_.shape_.first_event_delay);
     }
 
     void continue_work() {
-        if (role_ == Role::reader) {
+        if (role_ == Role::prefill) {
             store_state();
             return finish(response(202, "Content-Type: application/json\r\n", R"({"cached_tokens":8})"));
         }
@@ -138,13 +139,13 @@
         if (sent_events_ == 0) stream_->send(kEventStreamHead);
         ++sent_events_;
         if (sent_events_ == 2) {
-            const std::string malformed = fault_ == Fault::size_unreadable ? "zz\r\nwhat is this\r\n"
-                                          : fault_ == Fault::size_huge     ? "B2D05E00\r\ndata: {"
-                                                                           : "";
+            const std::string malformed = fault_ == Fault::chunk_size_malformed ? "zz\r\nwhat is this\r\n"
+                                          : fault_ == Fault::chunk_size_huge    ? "B2D05E00\r\ndata: {"
+                                                                                : "";
             if (fault_ == Fault::ends_early) return finish("0\r\n\r\n");
-            if (fault_ == Fault::breaks) return platform_.drop(*this, false);
-            if (fault_ == Fault::falls_silent) return;
-            if (fault_ == Fault::size_misfit) {
+            if (fault_ == Fault::closes_mid_stream) return platform_.drop(*this, false);
+            if (fault_ == Fault::stalls_mid_stream) return;
+            if (fault_ == Fault::chunk_size_mismatch) {
                 // The stated size is less than the data.
                 const std::string more = event(2, false);
                 return stream_->send("5\r\n" + more + "\r\n");
@@ -153,7 +154,7 @@
         }
         if (sent_events_ < platform_.shape_.events) {
             stream_->send(chunk(event(sent_events_, false)));
-            return step_timer_.set(platform_.shape_.gap);
+            return step_timer_.set(platform_.shape_.event_gap);
         }
         const std::string usage =
             "data: " +
@@ -167,7 +168,7 @@
 
     // Whatever happens to its answer, a prefill server may have done the prefill by then.
     void store_state() {
-        if (role_ == Role::reader) platform_.held_states_.prefill_ended(id_, attempt_name());
+        if (role_ == Role::prefill) platform_.held_states_.prefill_ended(id_, attempt_name());
     }
     void reject_without_state() {
         busy_ = false;
@@ -179,13 +180,13 @@
         stream_->send(bytes);
         busy_ = false;
         // Input behind this request is read after this callback.
-        Platform* const platform = &platform_;
+        FakePlatform* const platform = &platform_;
         platform_.loop_.post([platform, self = this] {
             if (platform->server_connections_.count(self)) self->read_requests();
         });
     }
 
-    Platform& platform_;
+    FakePlatform& platform_;
     const std::string server_;
     const Role role_;
     const std::uint64_t number_;
@@ -198,9 +199,9 @@
     Timer step_timer_;
 };
 
-class Platform::Watcher : public Stream::Owner {
+class FakePlatform::Watcher : public Stream::Owner {
   public:
-    Watcher(Platform& platform, std::string gateway, int fd)
+    Watcher(FakePlatform& platform, std::string gateway, int fd)
         : platform_(platform),
           gateway_(std::move(gateway)),
           wait_timer_(platform.loop_, [this] { send_list(); }),
@@ -208,16 +209,17 @@
         stream_ = Stream::accepted(platform.loop_, fd, {0, kMaxInputBytes}, *this);
     }
     std::unique_ptr<Stream> take_stream() {
-        wait_timer_.off();
-        piece_timer_.off();
+        wait_timer_.cancel();
+        piece_timer_.cancel();
         return std::move(stream_);
     }
-    void bytes_came(Stream&) override {
-        while (stream_ && stream_->held() > 0) {
+    void bytes_received(Stream&) override {
+        while (stream_ && stream_->buffered() > 0) {
             if (!message_)
-                message_ = std::make_unique<http::Message>(http::Sort::call, http::Bounds{}, nullptr);
+                message_ =
+                    std::make_unique<http::Message>(http::MessageKind::request, http::Bounds{}, nullptr);
             stream_->drain(message_->take(stream_->front()));
-            if (message_->trouble() != http::Trouble::none) return platform_.drop(*this);
+            if (message_->error() != http::ParseError::none) return platform_.drop(*this);
             if (!message_->done()) continue;
             const std::string target = message_->head().target;
             message_.reset();
@@ -235,11 +237,11 @@
             }
         }
     }
-    void stream_closed(Stream&, Closing, const std::string&) override { platform_.drop(*this); }
+    void stream_closed(Stream&, CloseReason, const std::string&) override { platform_.drop(*this); }
     bool is_waiting() const { return is_watch_ && wait_timer_.is_set(); }
     void stop_answering() { stopped_answering_ = true; }
     void send_list() {
-        wait_timer_.off();
+        wait_timer_.cancel();
         if (platform_.is_discovery_silent_ || stopped_answering_) return;
         std::string body;
         bool whole = !is_watch_;
@@ -248,7 +250,7 @@
             body = platform_.replacement_lists_.front();
             platform_.replacement_lists_.pop_front();
         } else if (!is_watch_) {
-            body = platform_.list();
+            body = platform_.list_json();
         } else {
             std::vector<std::string> names;
             for (const auto& [index, name] : platform_.changes_)
@@ -277,7 +279,7 @@
         platform_.written_lists_[list_number_].completed_at = platform_.loop_.now();
     }
 
-    Platform& platform_;
+    FakePlatform& platform_;
     const std::string gateway_;
     std::unique_ptr<Stream> stream_;
     std::unique_ptr<http::Message> message_;
@@ -288,14 +290,14 @@
     Timer wait_timer_, piece_timer_;
 };
 
-Platform::Platform(Loop& loop, const Shape& shape) : loop_(loop), shape_(shape) {
+FakePlatform::FakePlatform(Loop& loop, const ServiceTimes& shape) : loop_(loop), shape_(shape) {
     discovery_ = open_discovery("", Address::parse("127.0.0.1:0"));
     discovery_address_ = discovery_->address();
 }
 
-Platform::~Platform() = default;
+FakePlatform::~FakePlatform() = default;
 
-std::unique_ptr<Listener> Platform::open_discovery(const std::string& gateway, const Address& at) {
+std::unique_ptr<Listener> FakePlatform::open_discovery(const std::string& gateway, const Address& at) {
     return std::make_unique<Listener>(loop_, at, [this, gateway](int fd) {
         auto watcher = std::make_unique<Watcher>(*this, gateway, fd);
         Watcher* raw = watcher.get();
@@ -303,39 +305,39 @@
     });
 }
 
-Address Platform::discovery() const { return discovery_address_; }
+Address FakePlatform::discovery() const { return discovery_address_; }
 
-Address Platform::discovery_for(const std::string& gateway) {
+Address FakePlatform::discovery_for(const std::string& gateway) {
     std::unique_ptr<Listener>& listener = discovery_of_gateways_[gateway];
     if (!listener) listener = open_discovery(gateway, Address::parse("127.0.0.1:0"));
     return listener->address();
 }
 
-void Platform::discovery_is_down(bool down) {
+void FakePlatform::set_discovery_down(bool down) {
     if (down)
         discovery_.reset();
     else
         discovery_ = open_discovery("", discovery_address_);
-    if (down) watches_are_reset();
+    if (down) reset_watches();
 }
 
-void Platform::watches_fall_silent() {
+void FakePlatform::silence_watches() {
     for (const auto& [watcher, held] : watchers_) watcher->stop_answering();
 }
 
-void Platform::watches_are_reset() {
+void FakePlatform::reset_watches() {
     while (!watchers_.empty()) drop(*watchers_.begin()->first, true);
 }
 
-void Platform::move_discovery() {
+void FakePlatform::move_discovery() {
     while (!watchers_.empty()) drop(*watchers_.begin()->first);
     discovery_ = open_discovery("", Address::parse("127.0.0.1:0"));
     discovery_address_ = discovery_->address();
     discovery_of_gateways_.clear();
 }
 
-void Platform::add(const std::string& name, Role role, const std::string& zone, int group,
-                   const std::string& listen) {
+void FakePlatform::add(const std::string& name, Role role, const std::string& zone, int group,
+                       const std::string& listen) {
     const bool again = servers_.count(name) > 0;
     Server& server = servers_[name];
     server.name = name;
@@ -353,12 +355,12 @@
     publish_changes({name});
 }
 
-void Platform::set(const std::string& name, const std::string& status) {
+void FakePlatform::set_status(const std::string& name, const std::string& status) {
     servers_.at(name).status = status;
     publish_changes({name});
 }
 
-void Platform::list(const std::vector<ListEntry>& servers) {
+void FakePlatform::add_to_list(const std::vector<ListEntry>& servers) {
     std::vector<std::string> names;
     for (const ListEntry& entry : servers) {
         Server& server = servers_[entry.name];
@@ -374,25 +376,25 @@
     publish_changes(names);
 }
 
-void Platform::set_start(const std::string& name, std::int64_t since_ms) {
+void FakePlatform::set_process_start(const std::string& name, std::int64_t since_ms) {
     Server& server = servers_.at(name);
     server.since_ms = since_ms;
     write_entry(server);
 }
 
-void Platform::indent_lists(bool indent) { indents_lists_ = indent; }
+void FakePlatform::set_list_indent(bool indent) { indents_lists_ = indent; }
 
-void Platform::set_all(const std::vector<std::string>& names, const std::string& status) {
+void FakePlatform::set_statuses(const std::vector<std::string>& names, const std::string& status) {
     for (const std::string& name : names) servers_.at(name).status = status;
     publish_changes(names);
 }
 
-void Platform::point(const std::string& name, const std::string& address) {
+void FakePlatform::set_address(const std::string& name, const std::string& address) {
     servers_.at(name).address = address;
     publish_changes({name});
 }
 
-void Platform::kill(const std::string& name) {
+void FakePlatform::kill(const std::string& name) {
     servers_.at(name).listener.reset();
     std::vector<ServerConnection*> connections_of_server;
     for (const auto& [connection, held] : server_connections_)
@@ -400,11 +402,11 @@
     for (ServerConnection* connection : connections_of_server) drop(*connection, true);
 }
 
-void Platform::next(const std::string& name, Fault fault, int times) {
+void FakePlatform::inject_fault(const std::string& name, Fault fault, int times) {
     for (int n = 0; n < times; ++n) servers_.at(name).faults.push_back(fault);
 }
 
-Fault Platform::fault_for(const std::string& server) {
+Fault FakePlatform::fault_for(const std::string& server) {
     auto& faults = servers_.at(server).faults;
     if (faults.empty()) return Fault::none;
     const Fault fault = faults.front();
@@ -412,7 +414,7 @@
     return fault;
 }
 
-void Platform::publish_changes(const std::vector<std::string>& names) {
+void FakePlatform::publish_changes(const std::vector<std::string>& names) {
     ++index_;
     for (const std::string& name : names) {
         changes_.emplace_back(index_, name);
@@ -423,9 +425,9 @@
         if (watcher->is_waiting()) watcher->send_list();
 }
 
-void Platform::write_entry(Server& s) const {
+void FakePlatform::write_entry(Server& s) const {
     const Json entry{{"name", s.name},   {"address", s.address},
-                     {"zone", s.zone},   {"type", s.role == Role::reader ? "reader" : "writer"},
+                     {"zone", s.zone},   {"type", s.role == Role::prefill ? "reader" : "writer"},
                      {"group", s.group}, {"status", s.status},
                      {"weight", 1.0},    {"since_ms", s.since_ms}};
     s.entry = entry.dump();
@@ -435,7 +437,7 @@
     }
 }
 
-std::string Platform::entries_json(const std::vector<std::string>& names) const {
+std::string FakePlatform::entries_json(const std::vector<std::string>& names) const {
     std::string text;
     for (const std::string& name : names) {
         const Server& server = servers_.at(name);
@@ -445,15 +447,15 @@
     return text;
 }
 
-std::vector<std::string> Platform::held_requests() const {
+std::vector<std::string> FakePlatform::held_requests() const {
     std::vector<std::string> held = markers_.requests();
     std::erase_if(held, [this](const std::string& request) { return !held_states_.is_held(request); });
     return held;
 }
 
-std::size_t Platform::states() const { return held_requests().size(); }
+std::size_t FakePlatform::held_state_count() const { return held_requests().size(); }
 
-std::string Platform::list() const {
+std::string FakePlatform::list_json() const {
     std::vector<std::string> names;
     for (const auto& [name, server] : servers_)
         if (server.status != "removed") names.push_back(name);
@@ -461,34 +463,34 @@
            entries_json(names) + "]}";
 }
 
-std::size_t Platform::count(const std::string& method, const std::string& server) const {
+std::size_t FakePlatform::count(const std::string& method, const std::string& server) const {
     std::size_t n = 0;
     for (const ReceivedRequest& h : received_)
         n += h.method == method && (server.empty() || h.server == server);
     return n;
 }
 
-void Platform::drop(ServerConnection& connection, bool reset) {
+void FakePlatform::drop(ServerConnection& connection, bool reset) {
     const auto held = server_connections_.find(&connection);
     if (held == server_connections_.end()) return;
     connection.end_attempt();
     if (reset)
         Stream::reset(loop_, connection.take_stream());
     else
-        Stream::hand_off(loop_, connection.take_stream(), true);
-    loop_.bury(std::move(held->second));
+        Stream::detach_and_close(loop_, connection.take_stream(), true);
+    loop_.delete_later(std::move(held->second));
     server_connections_.erase(held);
 }
 
-void Platform::drop(Watcher& watcher, bool reset) {
+void FakePlatform::drop(Watcher& watcher, bool reset) {
     const auto held = watchers_.find(&watcher);
     if (held == watchers_.end()) return;
     if (reset)
         Stream::reset(loop_, watcher.take_stream());
     else
-        Stream::hand_off(loop_, watcher.take_stream(), false);
-    loop_.bury(std::move(held->second));
+        Stream::detach_and_close(loop_, watcher.take_stream(), false);
+    loop_.delete_later(std::move(held->second));
     watchers_.erase(held);
 }
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/standin/response_text.h
+++ b/src/standin/response_text.h
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <string>
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 
 inline constexpr const char* kEventStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -22,4 +22,4 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/src/terms/terms_file.h
+++ b/src/terms/terms_file.h
@@ -19,8 +19,8 @@
     std::size_t max_line_bytes = 0, max_unsent_bytes = 0;
     std::size_t max_clients = 0, max_open_requests = 0, max_requests_per_client = 0;
     std::size_t max_attempts_per_connection = 0, max_bad_messages = 0;
-    Span client_idle_timeout, connect_timeout, connection_idle_timeout, ping_after, server_silence_timeout,
-        shutdown_timeout, roster_reconnect_delay;
+    Duration client_idle_timeout, connect_timeout, connection_idle_timeout, ping_after,
+        server_silence_timeout, shutdown_timeout, roster_reconnect_delay;
 };
 
 struct Logging {
@@ -31,7 +31,7 @@
 // Where traces are written. With an empty folder name no trace is written.
 struct Tracing {
     std::string folder;
-    trace::KeepingTerms keeping;
+    trace::StorageTerms storage;
 };
 
 // One route with its conditions and, after inheritance, its effective limits.
@@ -40,7 +40,7 @@
     RouteMatch match;
     RouteLimits limits;
     int line = 0;
-    std::vector<std::string> asks;  // its conditions as text, for error messages and listings
+    std::vector<std::string> conditions;  // its conditions as text, for error messages and listings
     struct StatedLimit {
         std::string key, route, value;  // the route that states it, and the value as written there
     };
@@ -51,18 +51,18 @@
     std::string name, zone, listen, roster, state_folder, peer_listen;
     std::vector<std::string> peers;  // addresses for peer notes, without this gateway's own
     Terms core;
-    Names zones, kinds, categories, client_groups;
-    std::vector<Span> deadlines;  // by category: how long its clients wait at most
+    NameTable zones, kinds, categories, client_groups;
+    std::vector<Duration> deadlines;  // by category: how long its clients wait at most
     Bounds bounds;
     Logging logging;
     Tracing trace;
     // The first is the default route, which matches every request.
     std::vector<RouteTerms> routes;
     RouteTable table;
-    Names listeners, attributes;  // listener 0 is that of the gateway's own form
+    NameTable listeners, attributes;  // listener 0 is that of the gateway's own form
     std::vector<std::string> listener_addresses;
     // Values of the rules that only the audit uses, not the router.
-    Span drain_grace, answer_slack;
+    Duration drain_grace, answer_slack;
     bool learned_shares = false;  // limits stated for the fleet are divided by learned shares; else evenly
 };
 
@@ -79,8 +79,8 @@
 
 // Return true on success; otherwise `diagnostics` holds all errors.
 bool read_terms(const std::string& text, const Overrides& overrides, GatewayTerms& terms,
-                std::vector<Fault>& diagnostics);
+                std::vector<Diagnostic>& diagnostics);
 bool read_terms_file(const std::string& path, const Overrides& overrides, GatewayTerms& terms,
-                     std::vector<Fault>& diagnostics);
+                     std::vector<Diagnostic>& diagnostics);
 
 }  // namespace copperfront
--- a/src/trace/anonymise.cpp
+++ b/src/trace/anonymise.cpp
@@ -7,7 +7,7 @@
 
 namespace copperfront::trace {
 
-Anonymiser::Anonymiser(std::string key, const Coarsening& coarsening, Pool& pool)
+Anonymiser::Anonymiser(std::string key, const Coarsening& coarsening, StringTable& pool)
     : key_(std::move(key)), coarsening_(coarsening), pool_(pool) {
     if (key_.empty()) throw std::invalid_argument("the key must not be empty");
 }
@@ -58,25 +58,25 @@
         }
     };
     row[1] = anonymised_name("gateway", row[1]);
-    if (row.table == Table::queries) {
-        using namespace query_column;
+    if (row.table == Table::requests) {
+        using namespace request_column;
         row[session] = anonymised_hash("session", row[session]);
-        row[beginning] = anonymised_hash("beginning", row[beginning]);
+        row[shared_prefix] = anonymised_hash("beginning", row[shared_prefix]);
         row[group] = anonymised_name("group", row[group]);
         row[route] = anonymised_name("route", row[route]);
         row[category] = anonymised_name("category", row[category]);
-        row[reader] = anonymised_name("server", row[reader]);
-        row[writer] = anonymised_name("server", row[writer]);
-        for (const std::size_t c : {prompt_tokens, most_tokens, answer_tokens, read_tokens})
+        row[prefill_server] = anonymised_name("server", row[prefill_server]);
+        row[decode_server] = anonymised_name("server", row[decode_server]);
+        for (const std::size_t c : {prompt_tokens, max_output_tokens, answer_tokens, prefill_tokens})
             round_up_tokens(c);
-        truncate_times({at, took, budget, latency_goal});
+        truncate_times({at, duration, time_budget, latency_goal});
         if (row[first_token] >= 0) truncate_times({first_token});
-        if (row[held] >= 0) truncate_times({held});
+        if (row[queue_time] >= 0) truncate_times({queue_time});
     } else if (row.table == Table::decisions) {
         using namespace decision_column;
         row[server] = anonymised_name("server", row[server]);
         for (std::int64_t& s : row.lists[0]) s = anonymised_name("server", s);
-        truncate_times({at, took, limit});
+        truncate_times({at, duration, time_limit});
         if (coarsening_.tokens > 0)
             for (std::int64_t& l : row.lists[1]) l -= l % coarsening_.tokens;
     } else {
--- a/src/trace/anonymise.h
+++ b/src/trace/anonymise.h
@@ -19,7 +19,7 @@
 class Anonymiser {
   public:
     // `key` is any non-empty string of bytes, used as the key of HMAC-SHA256 (RFC 2104).
-    Anonymiser(std::string key, const Coarsening& coarsening, Pool& pool);
+    Anonymiser(std::string key, const Coarsening& coarsening, StringTable& pool);
     void anonymise(Row& row);
 
   private:
@@ -29,7 +29,7 @@
 
     std::string key_;
     Coarsening coarsening_;
-    Pool& pool_;
+    StringTable& pool_;
     // Caches anonymised names, which are few. Hashes of sessions are recomputed each time: there may be
     // millions.
     std::unordered_map<std::string, std::int64_t> names_;
--- a/src/trace/cut.cpp
+++ b/src/trace/cut.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-CutResult cut(const std::vector<const TraceFile*>& files, const Wanted& filter, Pool& pool,
+CutResult cut(const std::vector<const TraceFile*>& files, const RowFilter& filter, StringTable& pool,
               const std::function<bool(const Row&)>& put,
               const std::function<void(std::uint64_t, std::uint64_t)>& progress) {
     CutResult result;
@@ -45,9 +45,9 @@
                 std::string why;
                 ++result.blocks_read;
                 if (!files[f]->read(info, pool, batch, why)) {
-                    result.troubles.push_back(files[f]->name() + ": " + std::to_string(info.rows) +
-                                              " rows at byte " + std::to_string(info.offset) +
-                                              " cannot be read: " + why);
+                    result.errors.push_back(files[f]->name() + ": " + std::to_string(info.rows) +
+                                            " rows at byte " + std::to_string(info.offset) +
+                                            " cannot be read: " + why);
                     continue;
                 }
                 for (std::size_t n = 0; n < batch.rows(); ++n)
@@ -71,7 +71,7 @@
                 while (current != &file) current = files[++f];
                 const Table table = file.index().blocks[b].table;
                 if (table == Table::events) return true;
-                return filter.selects_by_request() ? table != Table::queries
+                return filter.selects_by_request() ? table != Table::requests
                                                    : !filter.server.empty() && !server_blocks[f].count(b);
             },
             [&](const Batch& batch, std::size_t n) {
@@ -89,7 +89,7 @@
                                            return true;
                                        }
                                        ++result.rows;
-                                       result.requests += row.table == Table::queries;
+                                       result.requests += row.table == Table::requests;
                                        return put(row);
                                    });
     return result;
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -115,7 +115,7 @@
 bool TraceFile::read_footer() {
     std::string io_error, why;
     const std::uint64_t size = source_->size();
-    if (size < header_size_ + kFooterHead + kTrailerSize) return false;
+    if (size < header_size_ + kFooterHeaderSize + kTrailerSize) return false;
     const auto at = decode_trailer(source_->read(size - kTrailerSize, kTrailerSize, io_error));
     if (!at || *at < header_size_ || *at > size - kTrailerSize || size - *at > kMaxUncompressedBytes)
         return false;
@@ -124,7 +124,8 @@
     if (!decode_footer(bytes, index_, why)) return false;
     // A footer that describes bytes beyond its own start does not belong to this file.
     for (const BlockInfo& b : index_.blocks)
-        if (b.offset < header_size_ || b.offset > *at || b.size > *at - b.offset || b.size < kBlockHead) {
+        if (b.offset < header_size_ || b.offset > *at || b.size > *at - b.offset ||
+            b.size < kBlockHeaderSize) {
             index_ = {};
             return false;
         }
@@ -154,10 +155,10 @@
         damaged_ranges_.push_back({from, to - from, rows, reason});
     };
     while (at < size) {
-        const std::string head_bytes = source_->read(at, kBlockHead, io_error);
+        const std::string head_bytes = source_->read(at, kBlockHeaderSize, io_error);
         // Only a footer that reaches exactly to the end of the file counts; otherwise a file full of footer
         // magic numbers would be read once for each of them.
-        if (std::string_view(head_bytes).substr(0, kFooterMark.size()) == kFooterMark &&
+        if (std::string_view(head_bytes).substr(0, kFooterMagic.size()) == kFooterMagic &&
             decode_trailer(source_->read(size - std::min<std::uint64_t>(size, kTrailerSize), kTrailerSize,
                                          io_error)) == at) {
             Index footer;
@@ -181,7 +182,7 @@
             if (block.size() == head->size() && checksum_matches(block)) {
                 if (table && table->known) {
                     Batch batch(static_cast<Table>(head->table));
-                    Pool pool;
+                    StringTable pool;
                     std::string why;
                     if (decode(header_, block, pool, batch, why))
                         indexer.add(at, static_cast<std::uint32_t>(head->size()), batch, pool);
@@ -201,12 +202,12 @@
         std::uint64_t next = size;
         for (std::uint64_t from = at + 1; from < size && next == size;) {
             const std::string chunk = source_->read(from, kScanChunkBytes, io_error);
-            if (chunk.size() < kBlockMark.size()) break;
-            for (const std::string_view magic : {kBlockMark, kFooterMark}) {
+            if (chunk.size() < kBlockMagic.size()) break;
+            for (const std::string_view magic : {kBlockMagic, kFooterMagic}) {
                 const std::size_t found = chunk.find(magic);
                 if (found != std::string::npos) next = std::min(next, from + found);
             }
-            from += chunk.size() - (kBlockMark.size() - 1);
+            from += chunk.size() - (kBlockMagic.size() - 1);
             if (chunk.size() < kScanChunkBytes) break;
         }
         add_damaged(at, next, rows, reason);
@@ -242,7 +243,7 @@
     return out;
 }
 
-bool TraceFile::read(const BlockInfo& block, Pool& pool, Batch& batch, std::string& why) const {
+bool TraceFile::read(const BlockInfo& block, StringTable& pool, Batch& batch, std::string& why) const {
     batch.clear();
     const std::string all = bytes(block, why);
     if (all.size() != block.size || !decode(header_, all, pool, batch, why)) return false;
--- a/src/trace/file.h
+++ b/src/trace/file.h
@@ -23,9 +23,9 @@
     virtual std::string read(std::uint64_t offset, std::size_t count, std::string& io_error) const = 0;
 };
 
-class TextSource : public Source {
+class MemorySource : public Source {
   public:
-    explicit TextSource(std::string text) : text_(std::move(text)) {}
+    explicit MemorySource(std::string text) : text_(std::move(text)) {}
     std::uint64_t size() const override { return text_.size(); }
     std::string read(std::uint64_t offset, std::size_t count, std::string&) const override {
         return offset >= text_.size() ? std::string() : text_.substr(static_cast<std::size_t>(offset), count);
@@ -68,7 +68,7 @@
 
     // Returns false, with the reason in `why` and an empty batch, if the block was damaged after the file was
     // opened or the footer describes it wrongly.
-    bool read(const BlockInfo& block, Pool& pool, Batch& batch, std::string& why) const;
+    bool read(const BlockInfo& block, StringTable& pool, Batch& batch, std::string& why) const;
     // Returns the stored bytes of a block.
     std::string bytes(const BlockInfo& block, std::string& why) const;
 
--- a/src/trace/format.cpp
+++ b/src/trace/format.cpp
@@ -101,14 +101,14 @@
     }
 };
 
-void put_names(ByteWriter& to, const std::vector<std::int64_t>& values, const Pool& pool) {
+void put_names(ByteWriter& to, const std::vector<std::int64_t>& values, const StringTable& pool) {
     const DistinctValues all(values);
     to.varint(all.values.size());
     for (const std::int64_t v : all.values) to.text(pool.text(v));
     put_codes(to, all.codes, all.values.size());
 }
 
-bool get_names(ByteReader& from, std::size_t count, Pool& pool, std::vector<std::int64_t>& values) {
+bool get_names(ByteReader& from, std::size_t count, StringTable& pool, std::vector<std::int64_t>& values) {
     const std::uint64_t distinct = from.varint();
     if (distinct > count || distinct > from.remaining()) return false;
     std::vector<std::int64_t> dictionary;
@@ -146,7 +146,8 @@
     return get_codes(from, count, dictionary, values);
 }
 
-void put_column(ByteWriter& to, const Batch& batch, std::size_t column, Encoding encoding, const Pool& pool) {
+void put_column(ByteWriter& to, const Batch& batch, std::size_t column, Encoding encoding,
+                const StringTable& pool) {
     const auto& values = batch.values(column);
     switch (encoding) {
         case Encoding::number:
@@ -170,7 +171,7 @@
 }
 
 bool get_column(ByteReader& from, Batch& batch, std::size_t column, Encoding encoding, std::size_t rows,
-                Pool& pool) {
+                StringTable& pool) {
     auto& values = batch.values(column);
     switch (encoding) {
         case Encoding::number:
@@ -264,9 +265,9 @@
         return {};
     }
     // The version is checked first: a newer header may have any layout.
-    if (h.version < kOldestVersion || h.version > kNewest) {
+    if (h.version < kOldestVersion || h.version > kNewestVersion) {
         why = "its version is " + std::to_string(h.version) + "; this program reads " +
-              std::to_string(kOldestVersion) + " to " + std::to_string(kNewest);
+              std::to_string(kOldestVersion) + " to " + std::to_string(kNewestVersion);
         return {};
     }
     if (size > kMaxHeaderBytes) {
@@ -319,7 +320,7 @@
 
 // ---- blocks
 
-std::string encode(const Header& header, const Batch& batch, const Pool& pool, int level) {
+std::string encode(const Header& header, const Batch& batch, const StringTable& pool, int level) {
     const auto number = static_cast<std::uint8_t>(batch.table());
     const StoredTable* table = header.table(number);
     if (!table || batch.rows() == 0) return {};
@@ -334,8 +335,8 @@
     }
     const std::string body = compress(raw, level);
     const auto [first, last] = std::minmax_element(batch.values(0).begin(), batch.values(0).end());
-    std::string out(kBlockMark);
-    out.reserve(kBlockHead + body.size());
+    std::string out(kBlockMagic);
+    out.reserve(kBlockHeaderSize + body.size());
     ByteWriter head(out);
     head.fixed(number);
     head.fixed<std::uint8_t>(1);
@@ -350,8 +351,8 @@
 }
 
 std::optional<BlockHeader> decode_block_header(std::string_view bytes) {
-    if (bytes.size() < kBlockHead || bytes.substr(0, kBlockMark.size()) != kBlockMark) return {};
-    ByteReader from(bytes.substr(kBlockMark.size(), kBlockHead - kBlockMark.size()));
+    if (bytes.size() < kBlockHeaderSize || bytes.substr(0, kBlockMagic.size()) != kBlockMagic) return {};
+    ByteReader from(bytes.substr(kBlockMagic.size(), kBlockHeaderSize - kBlockMagic.size()));
     BlockHeader h;
     h.table = from.fixed<std::uint8_t>();
     h.compression = from.fixed<std::uint8_t>();
@@ -371,10 +372,11 @@
 bool checksum_matches(std::string_view block) {
     const auto head = decode_block_header(block);
     return head && block.size() == head->size() &&
-           head->checksum == checksum_of(block.substr(0, kBlockHead - 8), block.substr(kBlockHead));
+           head->checksum ==
+               checksum_of(block.substr(0, kBlockHeaderSize - 8), block.substr(kBlockHeaderSize));
 }
 
-bool decode(const Header& header, std::string_view bytes, Pool& pool, Batch& batch, std::string& why) {
+bool decode(const Header& header, std::string_view bytes, StringTable& pool, Batch& batch, std::string& why) {
     batch.clear();
     const auto fail = [&](const char* what) {
         batch.clear();
@@ -390,7 +392,7 @@
     if (head->table != static_cast<std::uint8_t>(batch.table()))
         return fail("the block belongs to another table");
     std::string raw;
-    if (head->compression != 1 || !decompress(bytes.substr(kBlockHead), head->raw, raw))
+    if (head->compression != 1 || !decompress(bytes.substr(kBlockHeaderSize), head->raw, raw))
         return fail("the block cannot be decompressed");
     ByteReader from(raw);
     for (const StoredColumn& c : table->columns) {
@@ -416,12 +418,12 @@
 // ---- index
 
 std::uint32_t Indexer::name_index(const std::string& name) {
-    const std::uint32_t at = name_indices_.index(name);
+    const std::uint32_t at = name_indices_.intern(name);
     if (at == index_.names.size()) index_.names.push_back(name);
     return at;
 }
 
-void Indexer::add(std::uint64_t offset, std::uint32_t size, const Batch& batch, const Pool& pool) {
+void Indexer::add(std::uint64_t offset, std::uint32_t size, const Batch& batch, const StringTable& pool) {
     if (batch.rows() == 0) return;
     BlockInfo info;
     info.offset = offset;
@@ -487,7 +489,7 @@
         for (const std::uint32_t s : b.servers) to.varint(s);
     }
     const std::string body = compress(raw, level);
-    std::string out(kFooterMark);
+    std::string out(kFooterMagic);
     ByteWriter head(out);
     head.fixed(static_cast<std::uint32_t>(body.size()));
     head.fixed(static_cast<std::uint32_t>(raw.size()));
@@ -505,15 +507,16 @@
         why = what;
         return false;
     };
-    if (bytes.size() < kFooterHead || bytes.substr(0, kFooterMark.size()) != kFooterMark)
+    if (bytes.size() < kFooterHeaderSize || bytes.substr(0, kFooterMagic.size()) != kFooterMagic)
         return fail("not a footer");
-    ByteReader head(bytes.substr(kFooterMark.size(), kFooterHead - kFooterMark.size()));
+    ByteReader head(bytes.substr(kFooterMagic.size(), kFooterHeaderSize - kFooterMagic.size()));
     const auto stored = head.fixed<std::uint32_t>(), raw_size = head.fixed<std::uint32_t>();
     const auto checksum = head.fixed<std::uint64_t>();
-    if (bytes.size() < kFooterHead + stored) return fail("the file ends within its footer");
-    const std::string_view body = bytes.substr(kFooterHead, stored);
+    if (bytes.size() < kFooterHeaderSize + stored) return fail("the file ends within its footer");
+    const std::string_view body = bytes.substr(kFooterHeaderSize, stored);
     std::string raw;
-    if (checksum != checksum_of(bytes.substr(0, kFooterHead - 8), body) || !decompress(body, raw_size, raw))
+    if (checksum != checksum_of(bytes.substr(0, kFooterHeaderSize - 8), body) ||
+        !decompress(body, raw_size, raw))
         return fail("the footer is damaged");
     ByteReader from(raw);
     const std::uint64_t names = from.varint();
--- a/src/trace/format.h
+++ b/src/trace/format.h
@@ -17,11 +17,11 @@
     "\x89"
     "CFT\r\n\x1a\n",
     8};
-constexpr std::string_view kBlockMark{
+constexpr std::string_view kBlockMagic{
     "\xc7"
     "CFTBLK\n",
     8};
-constexpr std::string_view kFooterMark{
+constexpr std::string_view kFooterMagic{
     "\xc7"
     "CFTEND\n",
     8};
@@ -29,7 +29,7 @@
     "\xc7"
     "CFTFIN\n",
     8};
-constexpr std::size_t kBlockHead = 48, kFooterHead = 24, kTrailerSize = 16;
+constexpr std::size_t kBlockHeaderSize = 48, kFooterHeaderSize = 24, kTrailerSize = 16;
 // Bounds on the memory that a file may make a reader allocate; files written by this program stay far below
 // them.
 constexpr std::uint32_t kMaxUncompressedBytes = 64U << 20, kMaxBlockRows = 1U << 20;
@@ -46,7 +46,7 @@
     bool known = false;
 };
 struct Header {
-    std::uint32_t version = kNewest;
+    std::uint32_t version = kNewestVersion;
     std::string origin, zone;     // of the gateway that writes the file; empty: of several
     std::int64_t created_at = 0;  // us since 1970
     std::vector<StoredTable> tables;
@@ -67,16 +67,16 @@
     std::uint32_t rows = 0, stored = 0, raw = 0;
     std::int64_t first = 0, last = 0;  // minimum and maximum time of the rows
     std::uint64_t checksum = 0;
-    std::size_t size() const { return kBlockHead + stored; }
+    std::size_t size() const { return kBlockHeaderSize + stored; }
 };
 
 // Returns an empty string for a batch without rows.
-std::string encode(const Header& header, const Batch& batch, const Pool& pool, int level = 3);
+std::string encode(const Header& header, const Batch& batch, const StringTable& pool, int level = 3);
 // Returns nothing if these bytes do not begin with a block header; the checksum is not verified.
 std::optional<BlockHeader> decode_block_header(std::string_view bytes);
 // `bytes` is one complete block. On failure returns false with the reason in `why` and an empty batch.
 // Columns that the file lacks are set to 0; columns unknown to this program are skipped.
-bool decode(const Header& header, std::string_view bytes, Pool& pool, Batch& batch, std::string& why);
+bool decode(const Header& header, std::string_view bytes, StringTable& pool, Batch& batch, std::string& why);
 bool checksum_matches(std::string_view block);
 
 // Index entry of a block: enough to decide whether it can be skipped.
@@ -87,7 +87,7 @@
 struct BlockInfo {
     std::uint64_t offset = 0;
     std::uint32_t size = 0, rows = 0;
-    Table table = Table::queries;
+    Table table = Table::requests;
     std::int64_t first = 0, last = 0;
     std::vector<RequestRange> requests;
     std::vector<std::uint32_t> servers;  // sorted indices into Index::names
@@ -100,13 +100,13 @@
 // Builds an index block by block, while blocks are written or found by a scan.
 class Indexer {
   public:
-    void add(std::uint64_t offset, std::uint32_t size, const Batch& batch, const Pool& pool);
+    void add(std::uint64_t offset, std::uint32_t size, const Batch& batch, const StringTable& pool);
     const Index& index() const { return index_; }
 
   private:
     std::uint32_t name_index(const std::string& name);
     Index index_;
-    Names name_indices_;
+    NameTable name_indices_;
 };
 
 // Encodes the footer and the trailer, for a footer that begins at `offset`.
--- a/src/trace/json_lines.h
+++ b/src/trace/json_lines.h
@@ -11,7 +11,7 @@
 
 class JsonLines {
   public:
-    explicit JsonLines(Pool& pool) : pool_(pool) {}
+    explicit JsonLines(StringTable& pool) : pool_(pool) {}
     // Appends the row without a newline.
     void append(const Row& row, std::string& out);
     // Returns false on failure; `why` says what is wrong and what is expected.
@@ -19,7 +19,7 @@
 
   private:
     const std::string& quoted(std::int64_t code);
-    Pool& pool_;
+    StringTable& pool_;
     std::vector<std::string> quoted_;  // by code; empty: not computed yet
 };
 
--- a/src/trace/keeping.cpp
+++ b/src/trace/keeping.cpp
@@ -5,7 +5,7 @@
 namespace copperfront::trace {
 namespace {
 
-constexpr Span kMinRetryDelay{250000}, kMaxRetryDelay{30000000};
+constexpr Duration kMinRetryDelay{250000}, kMaxRetryDelay{30000000};
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     // Leaves room for the file that is being written to grow; otherwise the budget would be exceeded before
     // it is closed.
     const std::uint64_t budget =
-        terms_.folder_bytes > terms_.file_bytes ? terms_.folder_bytes - terms_.file_bytes : 0;
+        terms_.max_folder_bytes > terms_.max_file_bytes ? terms_.max_folder_bytes - terms_.max_file_bytes : 0;
     for (const Disk::FileEntry& f : files) {
         if (total_bytes <= budget) break;
         if (f.name == open) continue;
@@ -40,7 +40,7 @@
 }
 
 bool StoragePolicy::record_failure(Instant now) {
-    Span delay = kMinRetryDelay;
+    Duration delay = kMinRetryDelay;
     for (std::uint32_t n = 0; n < failures_ && delay < kMaxRetryDelay; ++n) delay = delay * 2;
     failed_at_ = now;
     retry_at_ = now + std::min(delay, kMaxRetryDelay);
--- a/src/trace/keeping.h
+++ b/src/trace/keeping.h
@@ -11,21 +11,21 @@
 
 namespace copperfront::trace {
 
-struct KeepingTerms {
-    std::uint64_t file_bytes = 64U << 20;   // a new file is started at this size
-    Span file_age{3600000000};              // and at this age
-    std::uint64_t folder_bytes = 1U << 30;  // of all files of this gateway; the oldest are deleted first
-    Span hand_over{1000000};  // rows are passed to the writer thread after this time at the latest
-    Span sync{1000000};       // between syncs
-    std::size_t queue = 16;   // batches of rows that may wait for the disk
+struct StorageTerms {
+    std::uint64_t max_file_bytes = 64U << 20;   // a new file is started at this size
+    Duration max_file_age{3600000000};          // and at this age
+    std::uint64_t max_folder_bytes = 1U << 30;  // of all files of this gateway; the oldest are deleted first
+    Duration flush_interval{1000000};  // rows are passed to the writer thread after this time at the latest
+    Duration sync_interval{1000000};   // between syncs
+    std::size_t max_queued_batches = 16;  // batches of rows that may wait for the disk
 };
 
 class StoragePolicy {
   public:
-    explicit StoragePolicy(const KeepingTerms& terms) : terms_(terms) {}
+    explicit StoragePolicy(const StorageTerms& terms) : terms_(terms) {}
 
-    bool should_rotate(std::uint64_t bytes, Span age) const {
-        return bytes >= terms_.file_bytes || age >= terms_.file_age || age < Span{0};
+    bool should_rotate(std::uint64_t bytes, Duration age) const {
+        return bytes >= terms_.max_file_bytes || age >= terms_.max_file_age || age < Duration{0};
     }
     // Whether a file of this name belongs to the gateway: NAME-LIFE-NUMBER.cft.
     static bool belongs_to(const std::string& file, const std::string& gateway);
@@ -44,13 +44,13 @@
     bool record_success();
     bool may_write(Instant now) const { return failures_ == 0 || now >= retry_at_ || now < failed_at_; }
     bool sync_due(Instant now, bool unsynced) const {
-        return unsynced && (now - last_sync_at_ >= terms_.sync || now < last_sync_at_);
+        return unsynced && (now - last_sync_at_ >= terms_.sync_interval || now < last_sync_at_);
     }
     void record_sync(Instant now) { last_sync_at_ = now; }
-    const KeepingTerms& terms() const { return terms_; }
+    const StorageTerms& terms() const { return terms_; }
 
   private:
-    KeepingTerms terms_;
+    StorageTerms terms_;
     std::uint32_t failures_ = 0;
     Instant failed_at_, retry_at_, last_sync_at_;
 };
--- a/src/trace/order.cpp
+++ b/src/trace/order.cpp
@@ -5,7 +5,7 @@
 
 namespace copperfront::trace {
 
-bool Wanted::matches(const Row& row, const Pool& pool) const {
+bool RowFilter::matches(const Row& row, const StringTable& pool) const {
     if (row.at() < from || row.at() > until) return false;
     if (!origin.empty()) {
         const std::string& o = pool.text(row[1]);
@@ -13,20 +13,21 @@
         if (o != origin && o.substr(0, o.rfind('.')) != origin) return false;
     }
     if (!server.empty()) {
-        using namespace query_column;
+        using namespace request_column;
         const bool involves_server =
-            row.table == Table::queries ? pool.text(row[reader]) == server || pool.text(row[writer]) == server
+            row.table == Table::requests
+                ? pool.text(row[prefill_server]) == server || pool.text(row[decode_server]) == server
             : row.table == Table::decisions ? pool.text(row[decision_column::server]) == server
                                             : pool.text(row[event_column::server]) == server;
         if (!involves_server) return false;
     }
     if (!selects_by_request()) return true;
-    if (row.table != Table::queries) return false;
-    return (route.empty() || pool.text(row[query_column::route]) == route) &&
-           (group.empty() || pool.text(row[query_column::group]) == group);
+    if (row.table != Table::requests) return false;
+    return (route.empty() || pool.text(row[request_column::route]) == route) &&
+           (group.empty() || pool.text(row[request_column::group]) == group);
 }
 
-TimeOrderedReader::TimeOrderedReader(const TraceFile& file, Pool& pool, std::int64_t offset,
+TimeOrderedReader::TimeOrderedReader(const TraceFile& file, StringTable& pool, std::int64_t offset,
                                      std::int64_t from, std::int64_t until)
     : file_(file), pool_(pool), offset_(offset), from_(from), until_(until) {
     const auto shifted = [&](std::int64_t t) {
@@ -53,8 +54,8 @@
         ++next_block_;
         std::string why;
         if (!file_.read(info, pool_, loaded->batch, why)) {
-            troubles_.push_back(file_.name() + ": " + std::to_string(info.rows) + " rows at byte " +
-                                std::to_string(info.offset) + " cannot be read: " + why);
+            errors_.push_back(file_.name() + ": " + std::to_string(info.rows) + " rows at byte " +
+                              std::to_string(info.offset) + " cannot be read: " + why);
             free_slots_.push_back(slot);
             continue;
         }
@@ -93,7 +94,7 @@
     }
 }
 
-Merger::Merger(const std::vector<Input>& inputs, Pool& pool, std::int64_t from, std::int64_t until) {
+Merger::Merger(const std::vector<Input>& inputs, StringTable& pool, std::int64_t from, std::int64_t until) {
     for (const Input& input : inputs) {
         readers_.push_back(std::make_unique<TimeOrderedReader>(*input.file, pool, input.offset, from, until));
         InputRow input_row;
@@ -130,9 +131,9 @@
     }
 }
 
-std::vector<std::string> Merger::troubles() const {
+std::vector<std::string> Merger::errors() const {
     std::vector<std::string> out;
-    for (const auto& o : readers_) out.insert(out.end(), o->troubles().begin(), o->troubles().end());
+    for (const auto& o : readers_) out.insert(out.end(), o->errors().begin(), o->errors().end());
     return out;
 }
 
--- a/src/trace/order.h
+++ b/src/trace/order.h
@@ -13,12 +13,12 @@
 namespace copperfront::trace {
 
 // Selects rows. Empty strings match any value.
-struct Wanted {
+struct RowFilter {
     std::int64_t from = INT64_MIN, until = INT64_MAX;  // us since 1970, both inclusive
     std::string route, group, server, origin;
     // Only rows of the table of requests have route and group; `cut` finds the matching requests first and
     // then selects all rows that belong to them. Here, rows without the column do not match.
-    bool matches(const Row& row, const Pool& pool) const;
+    bool matches(const Row& row, const StringTable& pool) const;
     bool selects_by_request() const { return !route.empty() || !group.empty(); }
 };
 
@@ -26,12 +26,12 @@
 class TimeOrderedReader {
   public:
     // `offset` is added to every time, in us: by how much the clock of this file's gateway was behind.
-    TimeOrderedReader(const TraceFile& file, Pool& pool, std::int64_t offset = 0,
+    TimeOrderedReader(const TraceFile& file, StringTable& pool, std::int64_t offset = 0,
                       std::int64_t from = INT64_MIN, std::int64_t until = INT64_MAX);
-    // Returns false if there are no more rows. Blocks that cannot be read are reported in `troubles` and
+    // Returns false if there are no more rows. Blocks that cannot be read are reported in `errors` and
     // skipped.
     bool next(Row& row);
-    const std::vector<std::string>& troubles() const { return troubles_; }
+    const std::vector<std::string>& errors() const { return errors_; }
     std::size_t loaded_blocks() const { return next_rows_.size(); }
 
   private:
@@ -50,7 +50,7 @@
     void load_until(std::int64_t at);
 
     const TraceFile& file_;
-    Pool& pool_;
+    StringTable& pool_;
     std::int64_t offset_, from_, until_;
     std::vector<std::uint32_t> blocks_;  // by their first time
     std::size_t next_block_ = 0;
@@ -59,7 +59,7 @@
     std::priority_queue<std::pair<std::int64_t, std::uint32_t>,
                         std::vector<std::pair<std::int64_t, std::uint32_t>>, Later>
         next_rows_;  // time of the next row, slot
-    std::vector<std::string> troubles_;
+    std::vector<std::string> errors_;
 };
 
 // Merges many files by time; a row that several files hold is returned once.
@@ -69,11 +69,11 @@
         const TraceFile* file = nullptr;
         std::int64_t offset = 0;
     };
-    Merger(const std::vector<Input>& inputs, Pool& pool, std::int64_t from = INT64_MIN,
+    Merger(const std::vector<Input>& inputs, StringTable& pool, std::int64_t from = INT64_MIN,
            std::int64_t until = INT64_MAX);
     bool next(Row& row);
     std::uint64_t duplicates() const { return duplicates_; }
-    std::vector<std::string> troubles() const;
+    std::vector<std::string> errors() const;
     std::size_t loaded_blocks() const;
 
   private:
