--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -6,7 +6,7 @@
 
 namespace copperfront::trace {
 
-Recorder::Recorder(Disk& disk, const KeepingTerms& terms, std::string folder, std::string name,
+Recorder::Recorder(Disk& disk, const StorageTerms& terms, std::string folder, std::string name,
                    std::string life, std::string zone, Instant now)
     : disk_(disk),
       folder_(std::move(folder)),
@@ -38,7 +38,7 @@
 
 void Recorder::tick(Instant now) {
     // A clock that steps back must not delay rows by as much.
-    if (now - pending_since_ >= policy_.terms().hand_over || now < pending_since_) enqueue(now, false);
+    if (now - pending_since_ >= policy_.terms().flush_interval || now < pending_since_) enqueue(now, false);
 }
 
 void Recorder::enqueue(Instant now, bool last) {
@@ -47,7 +47,7 @@
     for (const Batch& b : batches_) rows += b.rows();
     if (rows == 0 && unreported_drops_ == 0) return;
     const std::lock_guard lock(mutex_);
-    if (!last && queue_.size() >= policy_.terms().queue) {
+    if (!last && queue_.size() >= policy_.terms().max_queued_batches) {
         // Serving never waits for a disk.
         unreported_drops_ += rows;
         dropped_ += rows;
@@ -69,7 +69,7 @@
     wake_.notify_one();
 }
 
-std::vector<std::string> Recorder::news() {
+std::vector<std::string> Recorder::take_messages() {
     const std::lock_guard lock(mutex_);
     return std::exchange(messages_, {});
 }
@@ -79,7 +79,7 @@
 void Recorder::run_writer() {
     std::unique_lock lock(mutex_);
     for (;;) {
-        wake_.wait_for(lock, std::chrono::microseconds(policy_.terms().sync.us),
+        wake_.wait_for(lock, std::chrono::microseconds(policy_.terms().sync_interval.us),
                        [this] { return stopping_ || !queue_.empty(); });
         if (queue_.empty() && stopping_) break;
         if (queue_.empty()) {
@@ -107,8 +107,8 @@
     file_name_ = name_ + "-" + life_ + "-" + number + ".cft";
     auto out = disk_.create(folder_ + "/" + file_name_, why);
     if (!out) return false;
-    file_ =
-        std::make_unique<FileWriter>(std::move(out), Header::of(kNewest, name_ + "." + life_, zone_, now.us));
+    file_ = std::make_unique<FileWriter>(std::move(out),
+                                         Header::of(kNewestVersion, name_ + "." + life_, zone_, now.us));
     if (!file_->start(why)) {
         file_.reset();
         std::string ignored;
@@ -159,7 +159,7 @@
         Row row(Table::events);
         row[event_column::at] = now.us;
         row[event_column::origin] = origin_;
-        row[event_column::what] = static_cast<std::int64_t>(Happening::dropped);
+        row[event_column::kind] = static_cast<std::int64_t>(EventKind::rows_dropped);
         row[event_column::number] = static_cast<std::int64_t>(lost);
         pending.batches[static_cast<std::size_t>(Table::events) - 1].add(row);
     }
--- a/src/trace/recorder.h
+++ b/src/trace/recorder.h
@@ -21,7 +21,7 @@
   public:
     // Files are named `folder`/`name`-`life`-NNNNNN.cft; `origin` is name.life. The disk must outlive the
     // recorder.
-    Recorder(Disk& disk, const KeepingTerms& terms, std::string folder, std::string name, std::string life,
+    Recorder(Disk& disk, const StorageTerms& terms, std::string folder, std::string name, std::string life,
              std::string zone, Instant now);
     // Writes the queued rows and closes the file.
     ~Recorder();
@@ -32,10 +32,10 @@
     std::int64_t code(const std::string& text) { return pool_.code(text); }
     std::int64_t origin() const { return origin_; }
     void add(const Row& row, Instant now);
-    // Passes rows that have waited long enough to the writer thread; to be called every `hand_over`.
+    // Passes rows that have waited long enough to the writer thread; to be called every `flush_interval`.
     void tick(Instant now);
     // Returns messages for the log: the disk has begun to fail, or has recovered.
-    std::vector<std::string> news();
+    std::vector<std::string> take_messages();
 
     std::uint64_t dropped() const { return dropped_.load(); }
     std::uint64_t written() const { return written_.load(); }
@@ -60,7 +60,7 @@
     Disk& disk_;
     const std::string folder_, name_, life_, zone_;
     // Used by the loop's thread.
-    Pool pool_;
+    StringTable pool_;
     std::size_t queued_names_ = 1;
     std::int64_t origin_;
     std::vector<Batch> batches_;
@@ -75,7 +75,7 @@
     std::atomic<std::uint64_t> dropped_{0}, written_{0}, bytes_{0}, files_{0};
     // Used by the writer thread.
     StoragePolicy policy_;
-    Pool writer_names_;
+    StringTable writer_names_;
     std::unique_ptr<FileWriter> file_;
     std::string file_name_;
     Instant file_opened_at_;
--- a/src/trace/rows.cpp
+++ b/src/trace/rows.cpp
@@ -68,7 +68,7 @@
 
 std::span<const Column> columns_of(Table table) {
     switch (table) {
-        case Table::queries:
+        case Table::requests:
             return kQueries;
         case Table::decisions:
             return kDecisions;
@@ -83,22 +83,22 @@
     return kNames[static_cast<std::size_t>(table)];
 }
 
-const char* text_of(Fate fate) {
+const char* text_of(RequestOutcome fate) {
     constexpr const char* kTexts[] = {"settled", "declined", "given up", "left", "over a limit"};
     const auto n = static_cast<std::size_t>(fate);
     return n < std::size(kTexts) ? kTexts[n] : "unknown";
 }
-const char* text_of(Deed deed) {
+const char* text_of(DecisionKind kind) {
     constexpr const char* kTexts[] = {"held",        "read",         "write",      "launch over",
                                       "first token", "second copy",  "called off", "declined",
                                       "given up",    "over a limit", "released",   "settled"};
-    const auto n = static_cast<std::size_t>(deed);
+    const auto n = static_cast<std::size_t>(kind);
     return n < std::size(kTexts) ? kTexts[n] : "unknown";
 }
-const char* text_of(Happening what) {
+const char* text_of(EventKind kind) {
     constexpr const char* kTexts[] = {"started", "stopped", "list",       "shut out", "let in",
                                       "terms",   "dropped", "probe lost", "note"};
-    const auto n = static_cast<std::size_t>(what);
+    const auto n = static_cast<std::size_t>(kind);
     return n < std::size(kTexts) ? kTexts[n] : "unknown";
 }
 
--- a/src/trace/rows.h
+++ b/src/trace/rows.h
@@ -14,10 +14,11 @@
 namespace copperfront::trace {
 
 constexpr std::uint32_t kOldestVersion = 1,
-                        kNewest = 2;  // oldest and newest version of the format that is written and read
+                        kNewestVersion =
+                            2;  // oldest and newest version of the format that is written and read
 
-enum class Table : std::uint8_t { queries = 1, decisions = 2, events = 3 };
-inline constexpr std::array kTables{Table::queries, Table::decisions, Table::events};
+enum class Table : std::uint8_t { requests = 1, decisions = 2, events = 3 };
+inline constexpr std::array kTables{Table::requests, Table::decisions, Table::events};
 
 // Encoding of a column's values, which also determines their type.
 enum class Encoding : std::uint8_t {
@@ -44,85 +45,99 @@
 
 // One request, recorded at its end. Unknown values are 0; times are in us, since 1970 if they are points in
 // time.
-namespace query_column {
+namespace request_column {
 enum : std::size_t {
     at,
     origin,
-    query,
-    took,
+    request,
+    duration,
     route,
     category,
     group,
     session,
-    beginning,
+    shared_prefix,
     prompt_tokens,
-    most_tokens,
-    budget,
+    max_output_tokens,
+    time_budget,
     outcome,
     reason,
     first_token,
     answer_tokens,
-    reads,
-    writes,
-    reader,
-    writer,
-    read_tokens,
-    held,
-    copies,
-    generation,
+    prefills,
+    decodes,
+    prefill_server,
+    decode_server,
+    prefill_tokens,
+    queue_time,
+    hedges,
+    terms_generation,
     latency_goal
 };
 }
-enum class Fate : std::uint8_t { settled, declined, given_up, left, over_limit };
-const char* text_of(Fate fate);
+enum class RequestOutcome : std::uint8_t { completed, rejected, abandoned, client_left, over_limit };
+const char* text_of(RequestOutcome fate);
 
 // One decision about a request, or its result.
 namespace decision_column {
-enum : std::size_t { at, origin, query, what, server, attempt, why, ending, took, limit, seen, loads, of };
+enum : std::size_t {
+    at,
+    origin,
+    request,
+    kind,
+    server,
+    attempt,
+    why,
+    ending,
+    duration,
+    time_limit,
+    candidates,
+    candidate_loads,
+    candidate_count
+};
 }
-enum class Deed : std::uint8_t {
-    held,
-    read,
-    write,
-    over,
+enum class DecisionKind : std::uint8_t {
+    queued,
+    prefill,
+    decode,
+    attempt_ended,
     first_token,
-    copy,
-    called_off,
-    declined,
-    given_up,
-    limited,
+    hedge,
+    cancelled,
+    rejected,
+    abandoned,
+    over_limit,
     released,
-    settled
+    completed
 };
-const char* text_of(Deed deed);
+const char* text_of(DecisionKind kind);
 
 // Events that concern no single request.
 namespace event_column {
-enum : std::size_t { at, origin, what, server, text, number };
+enum : std::size_t { at, origin, kind, server, text, number };
 }
-enum class Happening : std::uint8_t {
+enum class EventKind : std::uint8_t {
     started,
     stopped,
-    list,
-    shut_out,
-    let_in,
-    terms,
-    dropped,
+    server_list,
+    ejected,
+    readmitted,
+    new_terms,
+    rows_dropped,
     probe_lost,
     note
 };
-const char* text_of(Happening what);
+const char* text_of(EventKind kind);
 
 constexpr std::size_t kMaxColumns = 25;
 
-// One row in transit between tables. Names are codes of the pool that goes with it.
+// One row in transit between tables. Names are codes of the string table that goes with it.
 struct Row {
-    Table table = Table::queries;
+    Table table = Table::requests;
     std::array<std::int64_t, kMaxColumns> values{};
     // Values of the list columns, in column order.
     std::array<std::vector<std::int64_t>, 2> lists;
 
-    explicit Row(Table t = Table::queries) : table(t) {}
+    explicit Row(Table t = Table::requests) : table(t) {}
     std::int64_t& operator[](std::size_t column) { return values[column]; }
     std::int64_t operator[](std::size_t column) const { return values[column]; }
     std::int64_t at() const { return values[0]; }
@@ -137,20 +152,20 @@
     return static_cast<std::int64_t>(static_cast<std::uint64_t>(a) + static_cast<std::uint64_t>(b));
 }
 // Arrival time of a request, from its row.
-inline std::int64_t arrival_time(const Row& query) {
-    return wrapping_subtract(query[query_column::at], query[query_column::took]);
+inline std::int64_t arrival_time(const Row& request) {
+    return wrapping_subtract(request[request_column::at], request[request_column::duration]);
 }
 
 // Interned texts, by code; code 0 is the empty text.
-class Pool {
+class StringTable {
   public:
-    Pool() { names_.index(""); }
-    std::int64_t code(const std::string& text) { return names_.index(text); }
+    StringTable() { names_.intern(""); }
+    std::int64_t code(const std::string& text) { return names_.intern(text); }
     const std::string& text(std::int64_t code) const { return names_.name(static_cast<std::uint32_t>(code)); }
     std::size_t size() const { return names_.size(); }
 
   private:
-    Names names_;
+    NameTable names_;
 };
 
 // Rows of one table, stored column by column.
--- a/src/trace/story.cpp
+++ b/src/trace/story.cpp
@@ -28,12 +28,12 @@
     return why.empty() ? what : what + ": " + why;
 }
 
-std::string describe_candidates(const Row& d, const Pool& pool, bool is_prefill) {
+std::string describe_candidates(const Row& d, const StringTable& pool, bool is_prefill) {
     using namespace decision_column;
     const auto& servers = d.lists[0];
     const auto& load_values = d.lists[1];
     if (servers.empty()) return {};
-    std::string out = "; of " + std::to_string(d[of]) + " that could be taken";
+    std::string out = "; of " + std::to_string(d[candidate_count]) + " that could be taken";
     for (std::size_t n = 0; n < servers.size(); ++n) {
         out += n == 0 ? ": " : ", ";
         out += pool.text(servers[n]);
@@ -43,66 +43,66 @@
                               ? std::to_string(load_values[n]) + " tokens of room"
                               : std::to_string(wrapping_subtract(0, load_values[n])) + " tokens of ours");
     }
-    if (d[of] > static_cast<std::int64_t>(servers.size())) out += ", ...";
+    if (d[candidate_count] > static_cast<std::int64_t>(servers.size())) out += ", ...";
     return out;
 }
 
-std::string describe_decision(const Row& d, const Pool& pool) {
+std::string describe_decision(const Row& d, const StringTable& pool) {
     using namespace decision_column;
     const std::string& server_name = pool.text(d[server]);
     const std::string& reason = pool.text(d[why]);
-    const auto decision_kind = static_cast<Deed>(d[what]);
+    const auto decision_kind = static_cast<DecisionKind>(d[kind]);
     switch (decision_kind) {
-        case Deed::held:
+        case DecisionKind::queued:
             return with_reason("held", reason);
-        case Deed::read:
-        case Deed::write: {
-            const bool is_prefill = decision_kind == Deed::read;
+        case DecisionKind::prefill:
+        case DecisionKind::decode: {
+            const bool is_prefill = decision_kind == DecisionKind::prefill;
             return with_reason(std::string(is_prefill ? "read" : "write") + " at " + server_name +
-                                   ", launch " + std::to_string(d[attempt]) + ", given " + ms(d[limit]),
+                                   ", launch " + std::to_string(d[attempt]) + ", given " + ms(d[time_limit]),
                                reason) +
                    describe_candidates(d, pool, is_prefill);
         }
-        case Deed::over:
+        case DecisionKind::attempt_ended:
             return with_reason("launch " + std::to_string(d[attempt]) + " at " + server_name +
-                                   " is over after " + ms(d[took]) + ", " + ending_text(d[ending]),
+                                   " is over after " + ms(d[duration]) + ", " + ending_text(d[ending]),
                                reason);
-        case Deed::first_token:
-            return "first token from " + server_name + ", " + ms(d[took]) + " after launch " +
+        case DecisionKind::first_token:
+            return "first token from " + server_name + ", " + ms(d[duration]) + " after launch " +
                    std::to_string(d[attempt]);
-        case Deed::copy:
+        case DecisionKind::hedge:
             return with_reason("a second copy goes out", reason);
-        case Deed::called_off:
+        case DecisionKind::cancelled:
             return with_reason(
                 "launch " + std::to_string(d[attempt]) + " at " + server_name + " is called off", reason);
-        case Deed::released:
+        case DecisionKind::released:
             return "what launch " + std::to_string(d[attempt]) + " left at " + server_name + " is let go";
-        case Deed::declined:
-        case Deed::given_up:
-        case Deed::limited:
-        case Deed::settled:
+        case DecisionKind::rejected:
+        case DecisionKind::abandoned:
+        case DecisionKind::over_limit:
+        case DecisionKind::completed:
             return with_reason(text_of(decision_kind), reason);
     }
-    return "deed " + std::to_string(d[what]) + " of a later version";
+    return "deed " + std::to_string(d[kind]) + " of a later version";
 }
 
-std::string describe_event(const Row& e, const Pool& pool) {
+std::string describe_event(const Row& e, const StringTable& pool) {
     using namespace event_column;
-    std::string out = text_of(static_cast<Happening>(e[what]));
+    std::string out = text_of(static_cast<EventKind>(e[kind]));
     if (e[server] != 0) out += ", " + pool.text(e[server]);
     if (e[text] != 0) out += ": " + pool.text(e[text]);
     if (e[number] != 0) out += " (" + std::to_string(e[number]) + ")";
     return out;
 }
 
-std::string describe_request(const Row& q, const Pool& pool) {
-    using namespace query_column;
-    std::string out = with_reason(text_of(static_cast<Fate>(q[outcome])), pool.text(q[reason]));
-    out += " after " + ms(q[took]);
+std::string describe_request(const Row& q, const StringTable& pool) {
+    using namespace request_column;
+    std::string out = with_reason(text_of(static_cast<RequestOutcome>(q[outcome])), pool.text(q[reason]));
+    out += " after " + ms(q[duration]);
     if (q[first_token] >= 0) out += ", first token after " + ms(q[first_token]);
-    out += ", " + std::to_string(q[answer_tokens]) + " tokens, " + std::to_string(q[reads]) + " reads and " +
-           std::to_string(q[writes]) + " writes";
-    if (q[copies] > 0) out += ", " + std::to_string(q[copies]) + " second copies";
+    out += ", " + std::to_string(q[answer_tokens]) + " tokens, " + std::to_string(q[prefills]) +
+           " reads and " + std::to_string(q[decodes]) + " writes";
+    if (q[hedges] > 0) out += ", " + std::to_string(q[hedges]) + " second copies";
     return out;
 }
 
@@ -116,16 +116,17 @@
     return end.ec == std::errc() && end.ptr == text.data() + text.size() && name.number > 0;
 }
 
-Found rows_of(const std::vector<const TraceFile*>& files, const RequestName& name, Pool& pool) {
-    Found found;
+RequestRows find_request(const std::vector<const TraceFile*>& files, const RequestName& name,
+                         StringTable& pool) {
+    RequestRows found;
     const auto read = [&](const TraceFile& file, std::uint32_t block, const auto& matches) {
         const BlockInfo& info = file.index().blocks[block];
         Batch batch(info.table);
         std::string why;
         ++found.blocks_read;
         if (!file.read(info, pool, batch, why)) {
-            found.troubles.push_back(file.name() + ": " + std::to_string(info.rows) + " rows at byte " +
-                                     std::to_string(info.offset) + " cannot be read: " + why);
+            found.errors.push_back(file.name() + ": " + std::to_string(info.rows) + " rows at byte " +
+                                   std::to_string(info.offset) + " cannot be read: " + why);
             return;
         }
         for (std::size_t n = 0; n < batch.rows(); ++n)
@@ -143,7 +144,7 @@
     std::set<std::int64_t> servers;
     std::set<std::int64_t> origins;
     for (const Row& r : found.rows) {
-        first = std::min(first, r.table == Table::queries ? arrival_time(r) : r.at());
+        first = std::min(first, r.table == Table::requests ? arrival_time(r) : r.at());
         last = std::max(last, r.at());
         origins.insert(r[1]);
         if (r.table == Table::decisions) servers.insert(r[decision_column::server]);
@@ -160,14 +161,15 @@
         }
     std::stable_sort(found.rows.begin(), found.rows.end(), [](const Row& a, const Row& b) {
         // The row of a request comes after its other rows of the same time, whichever block holds it.
-        return a.at() != b.at() ? a.at() < b.at() : (a.table == Table::queries) < (b.table == Table::queries);
+        return a.at() != b.at() ? a.at() < b.at()
+                                : (a.table == Table::requests) < (b.table == Table::requests);
     });
     return found;
 }
 
-std::string sentence(const Row& row, const Pool& pool) {
+std::string describe(const Row& row, const StringTable& pool) {
     switch (row.table) {
-        case Table::queries:
+        case Table::requests:
             return describe_request(row, pool);
         case Table::decisions:
             return describe_decision(row, pool);
@@ -177,7 +179,7 @@
     return {};
 }
 
-std::string story(const std::vector<Row>& rows, const Pool& pool) {
+std::string explain_request(const std::vector<Row>& rows, const StringTable& pool) {
     std::string out;
     // A number alone may match requests of several gateways; each gets its own explanation.
     std::vector<std::int64_t> origins;
@@ -190,19 +192,19 @@
         for (const Row& r : rows) {
             if (r[1] != origin || r.table == Table::events) continue;
             number = r[2];
-            arrived_at = std::min(arrived_at, r.table == Table::queries ? arrival_time(r) : r.at());
-            if (r.table == Table::queries) request_row = &r;
+            arrived_at = std::min(arrived_at, r.table == Table::requests ? arrival_time(r) : r.at());
+            if (r.table == Table::requests) request_row = &r;
         }
-        using namespace query_column;
+        using namespace request_column;
         out += "query " + pool.text(origin) + "." + std::to_string(number) + ", came " +
                time_text(arrived_at) + "\n";
         if (request_row) {
             out += "  " + std::to_string((*request_row)[prompt_tokens]) + " prompt tokens, at most " +
-                   std::to_string((*request_row)[most_tokens]) + " to write; category " +
+                   std::to_string((*request_row)[max_output_tokens]) + " to write; category " +
                    pool.text((*request_row)[category]) + ", route " + pool.text((*request_row)[route]);
             if ((*request_row)[group] != 0) out += ", client group " + pool.text((*request_row)[group]);
             if ((*request_row)[session] != 0) out += ", of a session";
-            out += "; waits " + ms((*request_row)[budget]) + ", latency goal " +
+            out += "; waits " + ms((*request_row)[time_budget]) + ", latency goal " +
                    ms((*request_row)[latency_goal]) + "\n";
         } else {
             out += "  its end is not in these files\n";
@@ -213,7 +215,7 @@
             std::snprintf(at, sizeof at, "  %+10.1f ms  ",
                           static_cast<double>(wrapping_subtract(r.at(), arrived_at)) / 1000);
             out += at +
-                   std::string(r.table == Table::events ? "(" + sentence(r, pool) + ")" : sentence(r, pool)) +
+                   std::string(r.table == Table::events ? "(" + describe(r, pool) + ")" : describe(r, pool)) +
                    "\n";
         }
     }
--- a/src/trace/story.h
+++ b/src/trace/story.h
@@ -17,18 +17,19 @@
 // Returns false if the text is no such name.
 bool parse_request_name(const std::string& text, RequestName& name);
 
-struct Found {
+struct RequestRows {
     std::vector<Row> rows;  // by time
-    std::vector<std::string> troubles;
+    std::vector<std::string> errors;
     std::size_t blocks_read = 0;
 };
 // Returns all rows of one request, and the events during its lifetime that concern the servers that it used,
 // as seen by its gateway.
-Found rows_of(const std::vector<const TraceFile*>& files, const RequestName& name, Pool& pool);
+RequestRows find_request(const std::vector<const TraceFile*>& files, const RequestName& name,
+                         StringTable& pool);
 
 // Returns an empty string if the rows contain nothing about a request.
-std::string story(const std::vector<Row>& rows, const Pool& pool);
+std::string explain_request(const std::vector<Row>& rows, const StringTable& pool);
 // Returns one row as a line of text, without its time.
-std::string sentence(const Row& row, const Pool& pool);
+std::string describe(const Row& row, const StringTable& pool);
 
 }  // namespace copperfront::trace
--- a/src/trace/summary.cpp
+++ b/src/trace/summary.cpp
@@ -29,18 +29,18 @@
     double (*of)(const GroupTotals&);
     const char* pattern;  // in the text table
 };
-template <Fate outcome>
+template <RequestOutcome outcome>
 double outcome_count(const GroupTotals& s) {
     return static_cast<double>(s.outcomes[static_cast<std::size_t>(outcome)]);
 }
 constexpr Field kFields[] = {
     {"queries", [](const GroupTotals& s) { return static_cast<double>(s.requests); }, "%9.0f"},
-    {"settled", outcome_count<Fate::settled>, "%9.0f"},
+    {"settled", outcome_count<RequestOutcome::completed>, "%9.0f"},
     {"in_goal", [](const GroupTotals& s) { return static_cast<double>(s.in_goal); }, "%9.0f"},
-    {"declined", outcome_count<Fate::declined>, "%9.0f"},
-    {"given_up", outcome_count<Fate::given_up>, "%9.0f"},
-    {"left", outcome_count<Fate::left>, "%9.0f"},
-    {"over_limit", outcome_count<Fate::over_limit>, "%10.0f"},
+    {"declined", outcome_count<RequestOutcome::rejected>, "%9.0f"},
+    {"given_up", outcome_count<RequestOutcome::abandoned>, "%9.0f"},
+    {"left", outcome_count<RequestOutcome::client_left>, "%9.0f"},
+    {"over_limit", outcome_count<RequestOutcome::over_limit>, "%10.0f"},
     {"first_p50_ms", [](const GroupTotals& s) { return s.first_token_ms.quantile(0.5); }, "%12.1f"},
     {"first_p90_ms", [](const GroupTotals& s) { return s.first_token_ms.quantile(0.9); }, "%12.1f"},
     {"first_p99_ms", [](const GroupTotals& s) { return s.first_token_ms.quantile(0.99); }, "%12.1f"},
@@ -84,21 +84,21 @@
 }
 
 void GroupTotals::add(const Row& q) {
-    using namespace query_column;
+    using namespace request_column;
     ++requests;
     const auto outcome_index = static_cast<std::size_t>(std::clamp<std::int64_t>(q[outcome], 0, 4));
     ++outcomes[outcome_index];
-    prefills += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[query_column::reads]));
-    decodes += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[query_column::writes]));
-    hedges += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[query_column::copies]));
-    prompt_tokens += static_cast<double>(q[query_column::prompt_tokens]);
-    prefill_tokens += static_cast<double>(q[query_column::read_tokens]);
-    answer_tokens += static_cast<double>(q[query_column::answer_tokens]);
-    if (q[held] >= 0) queue_time_ms.add(ms(q[held]));
-    if (static_cast<Fate>(outcome_index) != Fate::settled) return;
-    completed_prompt_tokens += static_cast<double>(q[query_column::prompt_tokens]);
-    total_ms.add(ms(q[took]));
-    const std::int64_t first = q[first_token] >= 0 ? q[first_token] : q[took];
+    prefills += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[request_column::prefills]));
+    decodes += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[request_column::decodes]));
+    hedges += static_cast<std::uint64_t>(std::max<std::int64_t>(0, q[request_column::hedges]));
+    prompt_tokens += static_cast<double>(q[request_column::prompt_tokens]);
+    prefill_tokens += static_cast<double>(q[request_column::prefill_tokens]);
+    answer_tokens += static_cast<double>(q[request_column::answer_tokens]);
+    if (q[queue_time] >= 0) queue_time_ms.add(ms(q[queue_time]));
+    if (static_cast<RequestOutcome>(outcome_index) != RequestOutcome::completed) return;
+    completed_prompt_tokens += static_cast<double>(q[request_column::prompt_tokens]);
+    total_ms.add(ms(q[duration]));
+    const std::int64_t first = q[first_token] >= 0 ? q[first_token] : q[duration];
     first_token_ms.add(ms(first));
     if (q[latency_goal] > 0) in_goal += first <= q[latency_goal];
 }
@@ -123,41 +123,42 @@
     return std::max(0.0, ratio(prefill_tokens - completed_prompt_tokens, prefill_tokens));
 }
 
-void Summary::add(const Row& row, const Pool& pool) {
+void Summary::add(const Row& row, const StringTable& pool) {
     if (row.table == Table::decisions) {
         ++decisions_;
         return;
     }
     if (row.table == Table::events) {
         ++events_;
-        if (row[event_column::what] == static_cast<std::int64_t>(Happening::dropped))
+        if (row[event_column::kind] == static_cast<std::int64_t>(EventKind::rows_dropped))
             dropped_ += static_cast<std::uint64_t>(row[event_column::number]);
         return;
     }
-    using namespace query_column;
+    using namespace request_column;
     const auto add_to = [&](const std::string& name) { groups_[name.empty() ? "(none)" : name].add(row); };
     switch (by_) {
-        case By::all:
+        case GroupBy::all:
             return add_to("all");
-        case By::route:
+        case GroupBy::route:
             return add_to(pool.text(row[route]));
-        case By::category:
+        case GroupBy::category:
             return add_to(pool.text(row[category]));
-        case By::group:
+        case GroupBy::group:
             return add_to(pool.text(row[group]));
-        case By::minute: {
+        case GroupBy::minute: {
             // The minute in which the request arrived.
             std::int64_t arrived_at = arrival_time(row);
             arrived_at = wrapping_subtract(arrived_at, ((arrived_at % 60000000) + 60000000) % 60000000);
             return add_to(time_text(arrived_at).substr(0, 16) + "Z");
         }
-        case By::gateway:
+        case GroupBy::gateway:
             return add_to(pool.text(row[origin]).substr(0, pool.text(row[origin]).rfind('.')));
-        case By::server:
+        case GroupBy::server:
             // Counted for both servers, as either may have caused the result.
-            if (row[reader] != 0) add_to(pool.text(row[reader]));
-            if (row[writer] != 0 && row[writer] != row[reader]) add_to(pool.text(row[writer]));
-            if (row[reader] == 0 && row[writer] == 0) add_to("");
+            if (row[prefill_server] != 0) add_to(pool.text(row[prefill_server]));
+            if (row[decode_server] != 0 && row[decode_server] != row[prefill_server])
+                add_to(pool.text(row[decode_server]));
+            if (row[prefill_server] == 0 && row[decode_server] == 0) add_to("");
             return;
     }
 }
--- a/src/trace/summary.h
+++ b/src/trace/summary.h
@@ -11,13 +11,13 @@
 
 namespace copperfront::trace {
 
-enum class By { all, route, category, group, server, minute, gateway };
-// Null-terminated names as given on the command line, in the order of By.
+enum class GroupBy { all, route, category, group, server, minute, gateway };
+// Null-terminated names as given on the command line, in the order of GroupBy.
 constexpr const char* kGroupByNames[] = {"all", "route", "category", "group", "server", "minute", "gateway"};
 
 struct GroupTotals {
     std::uint64_t requests = 0;
-    std::uint64_t outcomes[5] = {};  // indexed by Fate
+    std::uint64_t outcomes[5] = {};  // indexed by RequestOutcome
     std::uint64_t in_goal = 0;
     std::uint64_t prefills = 0, decodes = 0, hedges = 0;
     double prompt_tokens = 0, prefill_tokens = 0, answer_tokens = 0, completed_prompt_tokens = 0;
@@ -32,21 +32,21 @@
 
 class Summary {
   public:
-    explicit Summary(By by) : by_(by) {}
+    explicit Summary(GroupBy by) : by_(by) {}
     // Rows of the other tables are only counted.
-    void add(const Row& row, const Pool& pool);
+    void add(const Row& row, const StringTable& pool);
     void merge(const Summary& other);
     const std::map<std::string, GroupTotals>& groups() const { return groups_; }
     std::uint64_t decisions() const { return decisions_; }
     std::uint64_t dropped() const { return dropped_; }
-    By by() const { return by_; }
+    GroupBy by() const { return by_; }
 
     std::string text() const;
     std::string csv() const;
     std::string json() const;
 
   private:
-    By by_;
+    GroupBy by_;
     std::map<std::string, GroupTotals> groups_;
     std::uint64_t decisions_ = 0, events_ = 0, dropped_ = 0;
 };
--- a/src/trace/writer.cpp
+++ b/src/trace/writer.cpp
@@ -23,12 +23,13 @@
 
 bool FileWriter::start(std::string& why) { return append(encode(header_), why); }
 
-bool FileWriter::add(const Batch& batch, const Pool& pool, std::string& why) {
+bool FileWriter::add(const Batch& batch, const StringTable& pool, std::string& why) {
     const std::string block = encode(header_, batch, pool, level_);
     return block.empty() || add_block(block, batch, pool, why);
 }
 
-bool FileWriter::add_block(std::string_view bytes, const Batch& batch, const Pool& pool, std::string& why) {
+bool FileWriter::add_block(std::string_view bytes, const Batch& batch, const StringTable& pool,
+                           std::string& why) {
     const std::uint64_t offset = size_;
     if (!append(bytes, why)) return false;
     indexer_.add(offset, static_cast<std::uint32_t>(bytes.size()), batch, pool);
@@ -40,7 +41,7 @@
     return append(encode_footer(indexer_.index(), size_, level_), why);
 }
 
-RowSink::RowSink(FileWriter& file, const Pool& pool) : file_(file), pool_(pool) {
+RowSink::RowSink(FileWriter& file, const StringTable& pool) : file_(file), pool_(pool) {
     for (const Table t : kTables) batches_.emplace_back(t);
 }
 
--- a/src/trace/writer.h
+++ b/src/trace/writer.h
@@ -15,9 +15,9 @@
     // before, provided that the disk allowed a partial write to be truncated; if it did not, `corrupt` is
     // true and further writes are refused.
     bool start(std::string& why);
-    bool add(const Batch& batch, const Pool& pool, std::string& why);
+    bool add(const Batch& batch, const StringTable& pool, std::string& why);
     // Appends an encoded block of another file with the same schema. `batch` holds its decoded rows.
-    bool add_block(std::string_view bytes, const Batch& batch, const Pool& pool, std::string& why);
+    bool add_block(std::string_view bytes, const Batch& batch, const StringTable& pool, std::string& why);
     bool finish(std::string& why);
     bool sync(std::string& why) { return out_->sync(why); }
     std::uint64_t size() const { return size_; }
@@ -39,13 +39,13 @@
 // Collects single rows into blocks of a file.
 class RowSink {
   public:
-    explicit RowSink(FileWriter& file, const Pool& pool);
+    explicit RowSink(FileWriter& file, const StringTable& pool);
     bool put(const Row& row, std::string& why);
     bool flush(std::string& why);
 
   private:
     FileWriter& file_;
-    const Pool& pool_;
+    const StringTable& pool_;
     std::vector<Batch> batches_;
 };
 
--- a/src/watching/watching.h
+++ b/src/watching/watching.h
@@ -17,38 +17,41 @@
 namespace copperfront {
 
 // Decisions of the shadow router compared with the real ones.
-struct Differences {
-    std::uint64_t alike = 0;              // attempts that would have been sent to the same server
-    std::uint64_t reader = 0;             // prefills that would have been sent to another server
-    std::uint64_t writer = 0;             // hand-overs that would have been sent to another server
-    std::uint64_t held = 0;               // attempts not sent by the first event of the real one
-    std::uint64_t ended = 0;              // requests rejected or abandoned that were really completed
-    std::uint64_t went_on = 0;            // requests continued that were really rejected or abandoned
-    std::uint64_t called_off = 0;         // attempts cancelled where the real one was not
-    std::uint64_t probes = 0, notes = 0;  // probes and notes to peers that would have been sent
+struct ShadowDifferences {
+    std::uint64_t same_server = 0;             // attempts that would have been sent to the same server
+    std::uint64_t other_prefill_server = 0;    // prefills that would have been sent to another server
+    std::uint64_t other_decode_server = 0;     // hand-overs that would have been sent to another server
+    std::uint64_t not_sent = 0;                // attempts not sent by the first event of the real one
+    std::uint64_t ended_early = 0;             // requests rejected or abandoned that were really completed
+    std::uint64_t continued = 0;               // requests continued that were really rejected or abandoned
+    std::uint64_t cancelled = 0;               // attempts cancelled where the real one was not
+    std::uint64_t probes = 0, peer_notes = 0;  // probes and notes to peers that would have been sent
 };
 
-class Watching : private Host {
+class ShadowEvaluation : private Host {
   public:
     struct Hooks {
         std::function<Instant()> now;
-        std::function<void(Span from_now, TimerKey key)> set_timer;  // has to call Watching::timer_rang then
+        std::function<void(Duration from_now, TimerKey key)>
+            set_timer;  // has to call ShadowEvaluation::timer_fired then
     };
-    Watching(const Terms& terms, Hooks hooks, std::uint32_t seed);
+    ShadowEvaluation(const Terms& terms, Hooks hooks, std::uint32_t seed);
 
     // The events of the dispatcher, in its order, without those of hedged attempts.
-    void list_arrived(std::span<const Listing> entries, bool whole) { router_.list_arrived(entries, whole); }
-    void list_missed() { router_.list_missed(); }
-    void query_came(QueryIndex request, const Arrival& facts);
-    void started(QueryIndex request, ServerIndex server, bool is_prefill);
-    void stream_began(QueryIndex request, Span took);
-    void attempt_ended(QueryIndex request, ServerIndex server, const Outcome& outcome);
-    void query_ended(QueryIndex request, bool completed);
-    void query_closed(QueryIndex request);
+    void list_arrived(std::span<const ServerListing> entries, bool is_snapshot) {
+        router_.list_arrived(entries, is_snapshot);
+    }
+    void list_fetch_failed() { router_.list_fetch_failed(); }
+    void request_arrived(RequestIndex request, const RequestInfo& info);
+    void attempt_started(RequestIndex request, ServerIndex server, bool is_prefill);
+    void stream_began(RequestIndex request, Duration duration);
+    void attempt_ended(RequestIndex request, ServerIndex server, const AttemptOutcome& outcome);
+    void request_ended(RequestIndex request, bool completed);
+    void request_closed(RequestIndex request);
     void probe_answered(ServerIndex server, bool answered, const LoadReport& report);
-    void timer_rang(TimerKey key) { router_.timer_rang(key); }
+    void timer_fired(TimerKey key) { router_.timer_fired(key); }
 
-    const Differences& differences() const { return differences_; }
+    const ShadowDifferences& differences() const { return differences_; }
 
   private:
     struct RequestState {
@@ -60,26 +63,26 @@
         bool answered = false;  // the request has had its final answer
     };
     Instant now() const override { return hooks_.now(); }
-    void start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) override;
-    void retract(QueryIndex request, std::uint32_t attempt) override;
-    void decline(QueryIndex request, Span) override { state_of(request).shadow_ended = true; }
-    void give_up(QueryIndex request) override { state_of(request).shadow_ended = true; }
-    void release(QueryIndex) override {}
-    bool may_attempt_again(QueryIndex, Ending) override { return true; }
+    void start_attempt(RequestIndex request, ServerIndex server, const AttemptLimits& limits) override;
+    void cancel_attempt(RequestIndex request, std::uint32_t attempt) override;
+    void reject(RequestIndex request, Duration) override { state_of(request).shadow_ended = true; }
+    void abandon(RequestIndex request) override { state_of(request).shadow_ended = true; }
+    void release(RequestIndex) override {}
+    bool may_attempt_again(RequestIndex, Ending) override { return true; }
     void probe(ServerIndex) override { ++differences_.probes; }
     void subscribe() override {}
-    void tell_peers(std::string_view) override { ++differences_.notes; }
-    void set_timer(Span from_now, TimerKey key) override { hooks_.set_timer(from_now, key); }
+    void notify_peers(std::string_view) override { ++differences_.peer_notes; }
+    void set_timer(Duration from_now, TimerKey key) override { hooks_.set_timer(from_now, key); }
     void log(std::string_view) override {}
 
-    RequestState& state_of(QueryIndex request);
+    RequestState& state_of(RequestIndex request);
     void compare(RequestState& state);
-    void end_unmade_attempt(QueryIndex request);
+    void end_unmade_attempt(RequestIndex request);
 
     Hooks hooks_;
     std::vector<RequestState> states_;  // by request
-    Differences differences_;
-    Rules router_;
+    ShadowDifferences differences_;
+    Router router_;
 };
 
 }  // namespace copperfront
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -20,10 +20,10 @@
 using namespace platform;
 
 // Converts a duration to the milliseconds of the JSON lines.
-double wire_ms(Span span) { return static_cast<double>(span.us) / 1000.0; }
+double wire_ms(Duration span) { return static_cast<double>(span.us) / 1000.0; }
 
 // Returns the index of the name. Throws BadInput if the name is unknown.
-std::uint32_t required_index(const Names& names, const std::string& name, const char* what) {
+std::uint32_t required_index(const NameTable& names, const std::string& name, const char* what) {
     const std::uint32_t* i = names.find(name);
     if (!i) throw BadInput(std::string("unknown ") + what + ": " + name);
     return *i;
@@ -34,11 +34,11 @@
   public:
     Gateway(std::uint64_t gateway_id, const Json& event, Instant clock, std::string& reply)
         : gateway_id_(gateway_id), now_(clock), reply_(reply) {
-        const Json& env = needed(event, "env");
+        const Json& env = required_field(event, "env");
         if (!env.is_object()) throw BadInput("not an object: env");
         const Terms terms = read_terms(env, setting_names_);
-        rules_ =
-            std::make_unique<Rules>(terms, *this, static_cast<std::uint32_t>(whole(event, "random-seed")));
+        router_ = std::make_unique<Router>(
+            terms, *this, static_cast<std::uint32_t>(required_unsigned(event, "random-seed")));
     }
 
     void set_clock(Instant clock) { now_ = clock; }
@@ -52,17 +52,17 @@
         if (kind == "Wake") return handle_wake(event);
         if (kind == "StatusBack") return handle_status_back(event);
         if (kind == "AnswerAhead") {  // the router never reserves a slot ahead of its use
-            whole(event, "call");
+            required_unsigned(event, "call");
             return;
         }
-        if (kind == "Heard") return rules_->peer_told(text(event, "data"));
+        if (kind == "Heard") return router_->peer_note_received(required_string(event, "data"));
         throw BadInput("unknown message: " + kind);
     }
 
     // Frees the indices of ended requests. This happens only between batches, since later events of a batch
     // may still name a request that has ended.
     void end_batch() {
-        for (const QueryIndex i : ended_requests_) {
+        for (const RequestIndex i : ended_requests_) {
             RequestState& state = requests_[i];
             if (!state.is_used || !state.has_ended || state.attempts_in_flight > 0) continue;
             index_by_id_.erase(state.id);
@@ -73,36 +73,38 @@
     }
 
     Instant now() const override { return now_; }
-    void start_attempt(QueryIndex request, ServerIndex server, const AttemptLimits& limits) override {
+    void start_attempt(RequestIndex request, ServerIndex server, const AttemptLimits& limits) override {
         RequestState& state = requests_[request];
         ++state.attempts_in_flight;
         write_action("SubmitTo", {{"call", state.id},
                                   {"server", server_names_.name(server)},
                                   {"limit-ms", limits.answer.us > 0 ? wire_ms(limits.answer) : -1.0}});
     }
-    void retract(QueryIndex request, std::uint32_t attempt) override {
+    void cancel_attempt(RequestIndex request, std::uint32_t attempt) override {
         write_action("Retract", {{"call", requests_[request].id}, {"attempt", attempt}});
     }
-    void decline(QueryIndex request, Span stay_away) override {
+    void reject(RequestIndex request, Duration retry_after) override {
         mark_ended(request);
         Json action = {{"call", requests_[request].id}};
-        if (stay_away.us > 0) action["stay-away-ms"] = wire_ms(stay_away);
+        if (retry_after.us > 0) action["stay-away-ms"] = wire_ms(retry_after);
         write_action("Decline", std::move(action));
     }
-    void give_up(QueryIndex request) override {
+    void abandon(RequestIndex request) override {
         mark_ended(request);
         write_action("Lose", {{"call", requests_[request].id}});
     }
-    void release(QueryIndex request) override { write_action("Release", {{"call", requests_[request].id}}); }
-    bool may_attempt_again(QueryIndex, Ending) override { return true; }
+    void release(RequestIndex request) override {
+        write_action("Release", {{"call", requests_[request].id}});
+    }
+    bool may_attempt_again(RequestIndex, Ending) override { return true; }
     void probe(ServerIndex server) override {
         write_action("SoundOut", {{"server", server_names_.name(server)}});
     }
-    void tell_peers(std::string_view what) override {
+    void notify_peers(std::string_view what) override {
         write_action("Publish", {{"dst", "all"}, {"data", what}});
     }
     void subscribe() override { write_action("Listen", {{"on", true}}); }
-    void set_timer(Span from_now, TimerKey key) override {
+    void set_timer(Duration from_now, TimerKey key) override {
         write_action("Timer", {{"from-now-ms", wire_ms(from_now)}, {"key-back", std::to_string(key)}});
     }
     void log(std::string_view line) override { write_action("Log", {{"line", line}}); }
@@ -121,63 +123,63 @@
         reply_ += '\n';
     }
 
-    void mark_ended(QueryIndex request) {
+    void mark_ended(RequestIndex request) {
         requests_[request].has_ended = true;
         ended_requests_.push_back(request);
     }
 
-    const QueryIndex* find_request(const Json& event) const {
-        const auto it = index_by_id_.find(whole(event, "call"));
+    const RequestIndex* find_request(const Json& event) const {
+        const auto it = index_by_id_.find(required_unsigned(event, "call"));
         return it == index_by_id_.end() ? nullptr : &it->second;
     }
 
     void handle_directory_update(const Json& event) {
-        const std::string how = text(event, "how");
-        if (how == "broken") return rules_->list_missed();
+        const std::string how = required_string(event, "how");
+        if (how == "broken") return router_->list_fetch_failed();
         if (how != "patch" && how != "whole" && how != "stale_copy") throw BadInput("unknown how: " + how);
-        std::vector<Listing> entries;
-        for (const Json& e : list_or_empty(event, "members-list")) {
+        std::vector<ServerListing> entries;
+        for (const Json& e : array_or_empty(event, "members-list")) {
             if (!e.is_object()) throw BadInput("not an object: members-list");
-            Listing listing;
-            listing.server = server_names_.index(text(e, "server"));
-            listing.mark = mark(text(e, "server"));
+            ServerListing listing;
+            listing.server = server_names_.intern(required_string(e, "server"));
+            listing.name_hash = hash_of(required_string(e, "server"));
             listing.kind = static_cast<std::uint16_t>(
-                required_index(setting_names_.kinds, text(e, "family-type"), "family-type"));
+                required_index(setting_names_.kinds, required_string(e, "family-type"), "family-type"));
             listing.zone =
-                static_cast<std::uint16_t>(setting_names_.zones.index(text_or(e, "region-part", "")));
-            listing.cell = cell_names_.index(std::to_string(number_or(e, "unit-group", 0)));
-            listing.born = {micros(number_or(e, "born-ms", 0))};
-            const std::string condition = text(e, "condition");
+                static_cast<std::uint16_t>(setting_names_.zones.intern(string_or(e, "region-part", "")));
+            listing.cell = cell_names_.intern(std::to_string(number_or(e, "unit-group", 0)));
+            listing.started_at = {us_from_ms(number_or(e, "born-ms", 0))};
+            const std::string condition = required_string(e, "condition");
             if (condition != "Ready" && condition != "Terminating" && condition != "Gone")
                 throw BadInput("unknown condition: " + condition);
-            listing.standing = condition == "Ready"  ? Standing::ready
-                               : condition == "Gone" ? Standing::gone
-                                                     : Standing::draining;
+            listing.status = condition == "Ready"  ? ServerStatus::ready
+                             : condition == "Gone" ? ServerStatus::removed
+                                                   : ServerStatus::draining;
             entries.push_back(listing);
         }
-        rules_->list_arrived(entries, how != "patch");
+        router_->list_arrived(entries, how != "patch");
     }
 
     void handle_inbound(const Json& event) {
-        const std::uint64_t id = whole(event, "call");
+        const std::uint64_t id = required_unsigned(event, "call");
         if (index_by_id_.count(id)) throw BadInput("duplicate call: " + std::to_string(id));
-        Arrival info;
+        RequestInfo info;
         info.category = static_cast<std::uint16_t>(
-            required_index(setting_names_.categories, text(event, "priority"), "priority"));
+            required_index(setting_names_.categories, required_string(event, "priority"), "priority"));
         if (const Json* group = field(event, "client-group"); group && group->is_string())
             info.client_group = static_cast<std::int32_t>(
                 required_index(setting_names_.groups, group->get<std::string>(), "client-group"));
         else if (group && *group != 0)
             throw BadInput("not a text: client-group");
-        info.session = mark(text_or(event, "session-id", ""));
+        info.session = hash_of(string_or(event, "session-id", ""));
         if (const Json* shared = field(event, "system-prompt"); shared && *shared != 0)
-            info.beginning = mark(as_text(*shared, "system-prompt"));
-        info.budget = {micros(number(event, "time-budget-ms"))};
-        info.hint = span_or(event, "hint-ms", 0);
+            info.shared_prefix = hash_of(as_string(*shared, "system-prompt"));
+        info.time_budget = {us_from_ms(required_number(event, "time-budget-ms"))};
+        info.duration_hint = duration_or(event, "hint-ms", 0);
         info.prompt_tokens = number_or(event, "prompt-tokens", 0);
-        info.beginning_tokens = number_or(event, "prefix-len", 0);
-        info.most_tokens = number_or(event, "max-tokens", 0);
-        QueryIndex i = static_cast<QueryIndex>(requests_.size());
+        info.shared_prefix_tokens = number_or(event, "prefix-len", 0);
+        info.max_output_tokens = number_or(event, "max-tokens", 0);
+        RequestIndex i = static_cast<RequestIndex>(requests_.size());
         if (free_indices_.empty()) {
             requests_.emplace_back();
         } else {
@@ -186,81 +188,78 @@
         }
         requests_[i] = {id, 0, true, false};
         index_by_id_[id] = i;
-        rules_->query_arrived(i, info);
+        router_->request_arrived(i, info);
     }
 
     void handle_flowing(const Json& event) {
         const double took = number_or(event, "took-ms", 0);
-        if (const QueryIndex* i = find_request(event)) rules_->stream_began(*i, {micros(took)});
+        if (const RequestIndex* i = find_request(event)) router_->stream_began(*i, {us_from_ms(took)});
     }
 
     void handle_gone(const Json& event) {
-        const QueryIndex* i = find_request(event);
+        const RequestIndex* i = find_request(event);
         if (!i) return;
         mark_ended(*i);
-        rules_->query_left(*i);
+        router_->client_left(*i);
     }
 
-    LoadReport read_report(const Json& event) const {
+    LoadReport read_load_report(const Json& event) const {
         LoadReport report;
         const Json& pressure = object_or_empty(event, "pressure");
         report.memory_share = number_or(pressure, "x0", -1);
-        report.unread_thousands = number_or(pressure, "x1", -1);
+        report.queued_kilotokens = number_or(pressure, "x1", -1);
         return report;
     }
 
     void handle_result(const Json& event) {
-        static const std::map<std::string, Ending> endings = {{"ok", Ending::settled},
-                                                              {"error", Ending::error},
-                                                              {"full", Ending::full},
-                                                              {"timeout", Ending::late},
-                                                              {"reset", Ending::broken},
-                                                              {"connect_failed", Ending::unreachable},
-                                                              {"cancelled", Ending::retracted},
-                                                              {"moot", Ending::unsent},
-                                                              {"read", Ending::read}};
-        const auto ending = endings.find(text(event, "how"));
-        if (ending == endings.end()) throw BadInput("unknown how: " + text(event, "how"));
-        const ServerIndex server = required_index(server_names_, text(event, "server"), "server");
+        static const std::map<std::string, Ending> endings = {
+            {"ok", Ending::completed},          {"error", Ending::error},
+            {"full", Ending::refused},          {"timeout", Ending::timed_out},
+            {"reset", Ending::connection_lost}, {"connect_failed", Ending::unreachable},
+            {"cancelled", Ending::cancelled},   {"moot", Ending::unsent},
+            {"read", Ending::prefilled}};
+        const auto ending = endings.find(required_string(event, "how"));
+        if (ending == endings.end()) throw BadInput("unknown how: " + required_string(event, "how"));
+        const ServerIndex server = required_index(server_names_, required_string(event, "server"), "server");
         const double info = number_or(event, "info", 0);
-        Outcome outcome;
+        AttemptOutcome outcome;
         outcome.ending = ending->second;
-        outcome.took = span_or(event, "took-ms", 0);
-        outcome.no_state = outcome.ending == Ending::full && info == 1;
-        outcome.kept_tokens = info;
-        outcome.over = flag(event, "final");
-        outcome.report = read_report(event);
-        const QueryIndex* found = find_request(event);
+        outcome.duration = duration_or(event, "took-ms", 0);
+        outcome.state_missing = outcome.ending == Ending::refused && info == 1;
+        outcome.cached_tokens = info;
+        outcome.request_answered = flag(event, "final");
+        outcome.report = read_load_report(event);
+        const RequestIndex* found = find_request(event);
         if (!found || requests_[*found].attempts_in_flight == 0) return;
-        const QueryIndex i = *found;
+        const RequestIndex i = *found;
         --requests_[i].attempts_in_flight;
-        if (outcome.over) requests_[i].has_ended = true;
+        if (outcome.request_answered) requests_[i].has_ended = true;
         if (requests_[i].has_ended) ended_requests_.push_back(i);
-        rules_->attempt_ended(i, server, outcome);
+        router_->attempt_ended(i, server, outcome);
     }
 
     void handle_wake(const Json& event) {
-        const std::string key = text(event, "key-back");
+        const std::string key = required_string(event, "key-back");
         char* end = nullptr;
         const TimerKey timer = std::strtoull(key.c_str(), &end, 10);
         if (key.empty() || *end != '\0') throw BadInput("invalid timer key: " + key);
-        rules_->timer_rang(timer);
+        router_->timer_fired(timer);
     }
 
     void handle_status_back(const Json& event) {
-        const ServerIndex server = required_index(server_names_, text(event, "server"), "server");
-        rules_->probe_answered(server, text(event, "how") == "ok", read_report(event));
+        const ServerIndex server = required_index(server_names_, required_string(event, "server"), "server");
+        router_->probe_answered(server, required_string(event, "how") == "ok", read_load_report(event));
     }
 
     std::uint64_t gateway_id_;
     Instant now_;
     std::string& reply_;
-    Names server_names_, cell_names_;
-    Named setting_names_;
+    NameTable server_names_, cell_names_;
+    SettingNames setting_names_;
     std::vector<RequestState> requests_;
-    std::vector<QueryIndex> free_indices_, ended_requests_;
-    std::unordered_map<std::uint64_t, QueryIndex> index_by_id_;
-    std::unique_ptr<Rules> rules_;
+    std::vector<RequestIndex> free_indices_, ended_requests_;
+    std::unordered_map<std::uint64_t, RequestIndex> index_by_id_;
+    std::unique_ptr<Router> router_;
 };
 
 // Reads the JSON lines and writes one reply for each batch.
@@ -270,10 +269,10 @@
         const Json event = Json::parse(input, nullptr, false);
         if (event.is_discarded()) throw BadInput("not JSON");
         if (!event.is_object()) throw BadInput("not an object");
-        const std::string kind = text(event, "kind");
+        const std::string kind = required_string(event, "kind");
         if (kind == "Round") {
             if (in_batch_) throw BadInput("a Round inside a batch");
-            const Instant clock{micros(number(event, "time-ms"))};
+            const Instant clock{us_from_ms(required_number(event, "time-ms"))};
             if (clock < now_) throw BadInput("the clock goes backward");
             now_ = clock;
             in_batch_ = true;
@@ -288,7 +287,7 @@
             in_batch_ = false;
             return;
         }
-        const std::uint64_t gateway_id = whole(event, "who");
+        const std::uint64_t gateway_id = required_unsigned(event, "who");
         if (kind == "Provision") {
             if (gateways_.count(gateway_id)) throw BadInput("an instance is provisioned twice");
             gateways_.emplace(gateway_id, std::make_unique<Gateway>(gateway_id, event, now_, reply_));
--- a/tests/audit/audit_test.cpp
+++ b/tests/audit/audit_test.cpp
@@ -150,8 +150,8 @@
 
 void clean_records_pass() {
     const audit::Report r = run_audit(clean_records());
-    if (!r.clean()) std::fprintf(stderr, "%s", audit::text_of(r).c_str());
-    assert(r.clean() && r.categories.size() == 2 && r.categories[0].completed == 1);
+    if (!r.passed()) std::fprintf(stderr, "%s", audit::text_of(r).c_str());
+    assert(r.passed() && r.categories.size() == 2 && r.categories[0].completed == 1);
 }
 
 void each_rule_is_checked() {
@@ -238,7 +238,7 @@
     expect_breach(3, "told that it is draining", [&](Files& f) { insert(f, "r", sent(5251)); });
     Files in_grace = clean_records();
     insert(in_grace, "r", sent(5249));
-    assert(run_audit(in_grace).clean());
+    assert(run_audit(in_grace).passed());
     expect_breach(3, "told that it is gone", [&](Files& f) {
         // A server that is missing from a whole list has been removed.
         insert(f, "roster", at(3000, "told", {{"gw", "g.1"}, {"how", "whole"}, {"servers", Json::array()}}));
@@ -280,7 +280,7 @@
     Files few = clean_records();
     record(few, "r", "start")["born_ms"] = 77;
     record(few, "roster", "told")["servers"][0]["bornMs"] = 77;
-    assert(run_audit(few).clean());
+    assert(run_audit(few).passed());
 }
 
 // A state whose prefill ended just after its gateway was killed is no breach.
@@ -290,9 +290,9 @@
     record(f, "r", "free")["why"] = "abandoned";
     std::stable_sort(f["r"].begin(), f["r"].end(),
                      [](const Json& a, const Json& b) { return a["t"] < b["t"]; });
-    assert(!run_audit(f).clean());
+    assert(!run_audit(f).passed());
     insert(f, "run", at(1005, "killed", {{"name", "g"}}));
-    assert(run_audit(f).clean());
+    assert(run_audit(f).passed());
 }
 
 // A repeat must not be attributed to the request before it: the first is rejected without an attempt, and the
@@ -308,26 +308,26 @@
         at(990, "final", {{"c", "d"}, {"id", "90"}, {"end", "declined"}, {"text", "later"}});
     insert(f, "callers-z", asked(980, "90"));
     insert(f, "callers-z", declined);
-    if (!run_audit(f).clean()) std::fprintf(stderr, "%s", audit::text_of(run_audit(f)).c_str());
-    assert(run_audit(f).clean());
+    if (!run_audit(f).passed()) std::fprintf(stderr, "%s", audit::text_of(run_audit(f)).c_str());
+    assert(run_audit(f).passed());
     // The attempt was made before the repeat was sent.
     Files late = f;
     for (const char* file : {"r", "w"})
         for (Json& r : late[file])
             if (r.value("q", "") == "g.1.q0") r["t"] = r["t"].get<std::int64_t>() - 15000;
-    assert(!run_audit(late).clean());
+    assert(!run_audit(late).passed());
 }
 
 // A damaged record prevents a pass, unless its process was killed.
 void damaged_records_are_detected() {
     Files f = clean_records();
     f["w"].pop_back();
-    assert(!run_audit(f).clean() && run_audit(f).breaches.empty());
+    assert(!run_audit(f).passed() && run_audit(f).breaches.empty());
     insert(f, "run", at(8000, "killed", {{"name", "w"}}));
-    assert(run_audit(f).clean());
+    assert(run_audit(f).passed());
     Files missing = clean_records();
     missing.erase("roster");
-    assert(!run_audit(missing).clean());
+    assert(!run_audit(missing).passed());
 }
 
 }  // namespace
--- a/tests/core/cold_fleet_test.cpp
+++ b/tests/core/cold_fleet_test.cpp
@@ -20,10 +20,10 @@
     Fleet(std::size_t gateways, std::uint32_t seed, bool has_hot_prefix)
         : random_(seed), has_hot_prefix_(has_hot_prefix), gateways_(gateways) {
         for (ServerIndex s = 0; s < kServers; ++s) {
-            Listing l;
+            ServerListing l;
             l.server = s;
             l.kind = s < kServers / 2 ? 0 : 1;
-            l.mark = mixed(s + 1);
+            l.name_hash = mix_bits(s + 1);
             list_.push_back(l);
         }
         for (std::size_t g = 0; g < gateways; ++g) start(g);
@@ -33,12 +33,12 @@
     // comes for a while.
     void run_restart(double restarted) {
         run(ms(12000), 1.0);
-        list_[kColdServer].born = now_;
+        list_[kColdServer].started_at = now_;
         for (std::size_t g = 0; g < gateways_.size(); ++g) {
             if (static_cast<double>(g) < restarted * static_cast<double>(gateways_.size()))
                 start(g);
             else
-                gateways_[g].router->list_arrived(std::vector<Listing>{list_[kColdServer]}, false);
+                gateways_[g].router->list_arrived(std::vector<ServerListing>{list_[kColdServer]}, false);
         }
         restarted_at_ = now_;
         run(ms(4000), 1.0);
@@ -51,16 +51,16 @@
         std::size_t max_count = 0;
         std::deque<Instant> window;
         for (const Instant at : cold_sent_at_) {
-            if (at < restarted_at_ || at > restarted_at_ + terms_.warm_within) continue;
+            if (at < restarted_at_ || at > restarted_at_ + terms_.warm_up_time) continue;
             window.push_back(at);
-            while (at - window.front() > terms_.fall) window.pop_front();
+            while (at - window.front() > terms_.overload_window) window.pop_front();
             max_count = std::max(max_count, window.size());
         }
         return max_count;
     }
     double allowed() const {
-        const double n =
-            kRequestsPerServerS * terms_.start_capacity * terms_.tip_multiple * terms_.fall.ms() / 1000;
+        const double n = kRequestsPerServerS * terms_.start_capacity * terms_.overload_multiple *
+                         terms_.overload_window.ms() / 1000;
         return n + 2 * std::sqrt(n) + 2;
     }
     std::size_t sent_to_cold_server() const { return cold_sent_at_.size(); }
@@ -68,8 +68,8 @@
   private:
     struct Gateway {
         std::unique_ptr<FakeHost> host;
-        std::unique_ptr<Rules> router;
-        QueryIndex next = 0;
+        std::unique_ptr<Router> router;
+        RequestIndex next = 0;
         std::size_t attempts_processed = 0;
         std::uint32_t incarnation = 0;
     };
@@ -77,7 +77,7 @@
         Instant at;
         std::size_t gateway;
         std::uint32_t incarnation;
-        QueryIndex request;
+        RequestIndex request;
         ServerIndex server;
         bool operator>(const PendingEnd& other) const { return at > other.at; }
     };
@@ -87,7 +87,8 @@
         for (std::uint64_t prefix = 1;; ++prefix) {
             ServerIndex preferred = 0;
             for (ServerIndex s = 1; s < kServers / 2; ++s)
-                if (mixed(prefix ^ mixed(mixed(s + 1))) < mixed(prefix ^ mixed(mixed(preferred + 1))))
+                if (mix_bits(prefix ^ mix_bits(mix_bits(s + 1))) <
+                    mix_bits(prefix ^ mix_bits(mix_bits(preferred + 1))))
                     preferred = s;
             if (preferred == kColdServer) return prefix;
         }
@@ -101,7 +102,7 @@
         terms_ = RouterFixture().terms;
         terms_.gateways = static_cast<int>(gateways_.size());
         gateway.router =
-            std::make_unique<Rules>(terms_, *gateway.host, static_cast<std::uint32_t>(random_()));
+            std::make_unique<Router>(terms_, *gateway.host, static_cast<std::uint32_t>(random_()));
         gateway.router->list_arrived(list_, true);
         gateway.next = 0;
         gateway.attempts_processed = 0;
@@ -117,9 +118,9 @@
         }
     }
 
-    void run(Span duration, double load_factor) {
+    void run(Duration duration, double load_factor) {
         const Instant until = now_ + duration;
-        const Span tick = ms(5);
+        const Duration tick = ms(5);
         const double rate = kRequestsPerServerS * (kServers / 2) * load_factor * tick.ms() / 1000;
         while (now_ < until) {
             now_ = now_ + tick;
@@ -129,11 +130,11 @@
                 Gateway& gateway = gateways_[end.gateway];
                 if (gateway.incarnation != end.incarnation) continue;
                 gateway.host->clock = now_;
-                Outcome o;
-                o.took = ms(end.server < kServers / 2 ? 60 : 200);
-                o.ending = end.server < kServers / 2 ? Ending::read : Ending::settled;
-                if (o.ending == Ending::settled) gateway.router->stream_began(end.request, ms(20));
-                o.over = o.ending == Ending::settled;
+                AttemptOutcome o;
+                o.duration = ms(end.server < kServers / 2 ? 60 : 200);
+                o.ending = end.server < kServers / 2 ? Ending::prefilled : Ending::completed;
+                if (o.ending == Ending::completed) gateway.router->stream_began(end.request, ms(20));
+                o.request_answered = o.ending == Ending::completed;
                 gateway.router->attempt_ended(end.request, end.server, o);
                 process_attempts(end.gateway);
             }
@@ -142,16 +143,16 @@
                     std::uniform_int_distribution<std::size_t>(0, gateways_.size() - 1)(random_);
                 Gateway& gateway = gateways_[g];
                 gateway.host->clock = now_;
-                Arrival a;
+                RequestInfo a;
                 a.prompt_tokens = 1000;
                 a.session = random_();
                 if (has_hot_prefix_ && random_() % 2 == 0) {
-                    a.beginning = prefix_preferring_cold_server();
-                    a.beginning_tokens = 800;
+                    a.shared_prefix = prefix_preferring_cold_server();
+                    a.shared_prefix_tokens = 800;
                 }
-                a.most_tokens = 200;
-                a.budget = ms(5000);
-                gateway.router->query_arrived(gateway.next++, a);
+                a.max_output_tokens = 200;
+                a.time_budget = ms(5000);
+                gateway.router->request_arrived(gateway.next++, a);
                 process_attempts(g);
             }
             for (std::size_t g = 0; g < gateways_.size(); ++g) {
@@ -160,7 +161,7 @@
                 while (!gateway.host->timers.empty() && gateway.host->timers.begin()->first <= now_) {
                     const TimerKey key = gateway.host->timers.begin()->second;
                     gateway.host->timers.erase(gateway.host->timers.begin());
-                    gateway.router->timer_rang(key);
+                    gateway.router->timer_fired(key);
                 }
                 process_attempts(g);
             }
@@ -172,7 +173,7 @@
     Terms terms_;
     Instant now_{1'000'000'000}, restarted_at_;
     std::vector<Gateway> gateways_;
-    std::vector<Listing> list_;
+    std::vector<ServerListing> list_;
     std::priority_queue<PendingEnd, std::vector<PendingEnd>, std::greater<>> pending_ends_;
     std::vector<Instant> cold_sent_at_;
 };
--- a/tests/core/connection_count_test.cpp
+++ b/tests/core/connection_count_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kRequests = 800, kCells = 20, kSessions = 50;
-constexpr Span kBetweenRequests = ms(20);
+constexpr Duration kBetweenRequests = ms(20);
 constexpr double kMaxGrowth = 2.5, kMaxExtra = 40;  // required bounds for 16 times the servers
 
 // Counts the servers that a gateway has sent anything to; the whole run is within the time that connections
@@ -18,7 +18,7 @@
 std::size_t connections_made(std::size_t servers, std::uint32_t gateways) {
     RouterFixture fixture;
     fixture.terms.gateways = static_cast<int>(gateways);
-    fixture.terms.connections_rest = ms(30000);
+    fixture.terms.connection_idle_timeout = ms(30000);
     fixture.list.clear();
     for (std::size_t n = 0; n < servers; ++n) {
         const auto cell = static_cast<std::uint32_t>(n / 2 % kCells);
@@ -28,13 +28,13 @@
                                 zone,
                                 cell,
                                 {},
-                                Standing::ready,
+                                ServerStatus::ready,
                                 n + 1});
     }
     fixture.start();
     std::set<ServerIndex> contacted;
     for (int n = 0; n < kRequests; ++n) {
-        const QueryIndex request = fixture.prefill_one(1000, 1 + static_cast<std::uint64_t>(n % kSessions));
+        const RequestIndex request = fixture.prefill_one(1000, 1 + static_cast<std::uint64_t>(n % kSessions));
         fixture.complete(request);
         fixture.advance(kBetweenRequests);
     }
--- a/tests/core/helpers_test.cpp
+++ b/tests/core/helpers_test.cpp
@@ -27,7 +27,7 @@
 
 TEST(StepThroughList, VisitsEachEntryOnceAndLeavesAHalfOfTheListAtOnce) {
     for (std::size_t entries = 1; entries <= 3300; ++entries) {
-        const std::size_t step = release_policy::step_through_list(entries);
+        const std::size_t step = release_policy::list_stride(entries);
         std::vector<bool> visited(entries, false);
         std::size_t at = 0;
         for (std::size_t n = 0; n < entries; ++n) {
--- a/tests/core/hold_ledger_test.cpp
+++ b/tests/core/hold_ledger_test.cpp
@@ -8,12 +8,12 @@
 namespace copperfront {
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
 constexpr Instant kStart{5000000000};
 constexpr RequestKey kRequest = 7;
 constexpr ServerIndex kPrefillServer = 1, kDecodeServer = 2, kOther = 3;
 constexpr AttemptId kPrefill = 11, kHandOver = 12, kSecondPrefill = 13;
-constexpr Span kReleaseWithin = ms(1000);
+constexpr Duration kReleaseWithin = ms(1000);
 
 using Need = HoldLedger::Need;
 using Proof = HoldLedger::Proof;
@@ -23,8 +23,8 @@
     SendGuard guard{kReleaseWithin};
     Instant now = kStart;
 
-    void advance(Span duration) { now = now + duration; }
-    Need need() const { return ledger.need_of_release(kRequest, now); }
+    void advance(Duration duration) { now = now + duration; }
+    Need need() const { return ledger.release_need(kRequest, now); }
     // A release that is written now and answered a millisecond later.
     Proof send_release() {
         const Instant written = now;
@@ -35,29 +35,29 @@
     void complete_prefill() {
         ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
         advance(ms(10));
-        ledger.attempt_over(kRequest, kPrefill, Ending::read, now);
+        ledger.attempt_ended(kRequest, kPrefill, Ending::prefilled, now);
     }
     void start_hand_over() { ledger.attempt_started(kRequest, kHandOver, kDecodeServer, false, now); }
     void end_attempt(AttemptId attempt, Ending ending) {
-        ledger.attempt_over(kRequest, attempt, ending, now);
+        ledger.attempt_ended(kRequest, attempt, ending, now);
     }
     void want_all_releases() {
         for (const HoldLedger::Entry& entry : std::vector(ledger.entries(kRequest))) {
             ledger.want_release(kRequest, entry.attempt);
         }
     }
-    Span lease() const { return ledger.lease_end(kRequest) - ledger.held_since(kRequest); }
+    Duration lease() const { return ledger.lease_end(kRequest) - ledger.held_since(kRequest); }
 };
 
 TEST_F(LedgerTest, HoldsNothingBeforeAPrefillHasEnded) {
     EXPECT_EQ(need(), Need::nothing);
     ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
     EXPECT_EQ(need(), Need::nothing);
-    EXPECT_TRUE(ledger.is_attempt_out(kRequest));
+    EXPECT_TRUE(ledger.has_attempt_in_flight(kRequest));
 }
 
 TEST_F(LedgerTest, PrefillThatProvablyNeverRanHoldsNothing) {
-    for (const Ending ending : {Ending::unreachable, Ending::unsent, Ending::full}) {
+    for (const Ending ending : {Ending::unreachable, Ending::unsent, Ending::refused}) {
         ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
         end_attempt(kPrefill, ending);
         EXPECT_EQ(need(), Need::nothing) << text_of(ending);
@@ -66,15 +66,15 @@
 }
 
 TEST_F(LedgerTest, EveryOtherEndOfAPrefillMayHoldAState) {
-    const std::pair<Ending, HoldReason> cases[] = {{Ending::read, HoldReason::prefill_answered},
-                                                   {Ending::broken, HoldReason::answer_lost},
+    const std::pair<Ending, HoldReason> cases[] = {{Ending::prefilled, HoldReason::prefill_answered},
+                                                   {Ending::connection_lost, HoldReason::answer_lost},
                                                    {Ending::error, HoldReason::answer_lost},
-                                                   {Ending::late, HoldReason::prefill_not_awaited},
-                                                   {Ending::retracted, HoldReason::prefill_not_awaited}};
+                                                   {Ending::timed_out, HoldReason::prefill_not_awaited},
+                                                   {Ending::cancelled, HoldReason::prefill_not_awaited}};
     for (const auto& [ending, reason] : cases) {
         HoldLedger fresh(kReleaseWithin);
         fresh.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
-        fresh.attempt_over(kRequest, kPrefill, ending, now);
+        fresh.attempt_ended(kRequest, kPrefill, ending, now);
         ASSERT_EQ(fresh.entries(kRequest).size(), 1u) << text_of(ending);
         EXPECT_EQ(fresh.entries(kRequest)[0].reason, reason) << text_of(ending);
     }
@@ -95,7 +95,7 @@
     complete_prefill();
     want_all_releases();
     EXPECT_EQ(need(), Need::due);
-    EXPECT_EQ(send_release(), Proof::let_go);
+    EXPECT_EQ(send_release(), Proof::released);
     EXPECT_EQ(need(), Need::nothing);
     EXPECT_EQ(ledger.size(), 0u);
 }
@@ -105,7 +105,7 @@
     start_hand_over();
     ledger.stream_began(kRequest, kHandOver, now);
     EXPECT_EQ(need(), Need::nothing);
-    end_attempt(kHandOver, Ending::settled);
+    end_attempt(kHandOver, Ending::completed);
     EXPECT_EQ(ledger.size(), 0u);
 }
 
@@ -129,8 +129,8 @@
     EXPECT_EQ(need(), Need::not_yet);
     advance(ms(2000));
     EXPECT_EQ(need(), Need::not_yet);
-    end_attempt(kHandOver, Ending::late);
-    EXPECT_EQ(need(), Need::close_sent);
+    end_attempt(kHandOver, Ending::timed_out);
+    EXPECT_EQ(need(), Need::close_in_flight);
     advance(SendGuard::close_travel_time());
     EXPECT_EQ(need(), Need::due);
     EXPECT_EQ(ledger.held_since(kRequest), now - SendGuard::close_travel_time());
@@ -143,9 +143,9 @@
     want_all_releases();
     const Instant written = now;
     advance(ms(100));
-    end_attempt(kHandOver, Ending::late);
+    end_attempt(kHandOver, Ending::timed_out);
     advance(ms(50));
-    EXPECT_NE(ledger.release_answered(kRequest, kOther, written, now).proof, Proof::let_go);
+    EXPECT_NE(ledger.release_answered(kRequest, kOther, written, now).proof, Proof::released);
     EXPECT_EQ(need(), Need::due);
 }
 
@@ -157,9 +157,9 @@
     advance(ms(1));
     start_hand_over();
     advance(ms(5));
-    end_attempt(kHandOver, Ending::full);
+    end_attempt(kHandOver, Ending::refused);
     advance(ms(1));
-    EXPECT_NE(ledger.release_answered(kRequest, kOther, written, now).proof, Proof::let_go);
+    EXPECT_NE(ledger.release_answered(kRequest, kOther, written, now).proof, Proof::released);
     EXPECT_EQ(need(), Need::due);
 }
 
@@ -167,9 +167,9 @@
 TEST_F(LedgerTest, ReleaseIsNotDueBeforeTheCloseHasArrived) {
     complete_prefill();
     start_hand_over();
-    end_attempt(kHandOver, Ending::retracted);
+    end_attempt(kHandOver, Ending::cancelled);
     want_all_releases();
-    EXPECT_EQ(need(), Need::close_sent);
+    EXPECT_EQ(need(), Need::close_in_flight);
     advance(SendGuard::close_travel_time());
     EXPECT_EQ(need(), Need::due);
 }
@@ -178,25 +178,25 @@
     for (const bool at_prefill : {true, false}) {
         if (at_prefill) {
             ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
-            end_attempt(kPrefill, Ending::broken);
+            end_attempt(kPrefill, Ending::connection_lost);
         } else {
             complete_prefill();
             start_hand_over();
-            end_attempt(kHandOver, Ending::retracted);
+            end_attempt(kHandOver, Ending::cancelled);
         }
         advance(SendGuard::close_travel_time());
         want_all_releases();
-        EXPECT_EQ(send_release(), Proof::once_more);
+        EXPECT_EQ(send_release(), Proof::repeat_needed);
         EXPECT_EQ(need(), Need::not_yet);
         advance(ms(300));
         EXPECT_EQ(need(), Need::due);
         const Instant written = now;
         advance(ms(1));
         const auto result = ledger.release_answered(kRequest, kOther, written, now);
-        EXPECT_EQ(result.proof, Proof::let_go);
-        ASSERT_EQ(result.unheard.size(), 1u);
-        EXPECT_EQ(result.unheard[0].server, at_prefill ? kPrefillServer : kDecodeServer);
-        EXPECT_EQ(result.unheard[0].prefill, at_prefill);
+        EXPECT_EQ(result.proof, Proof::released);
+        ASSERT_EQ(result.unanswered.size(), 1u);
+        EXPECT_EQ(result.unanswered[0].server, at_prefill ? kPrefillServer : kDecodeServer);
+        EXPECT_EQ(result.unanswered[0].prefill, at_prefill);
     }
 }
 
@@ -206,7 +206,7 @@
     advance(ms(400));
     start_hand_over();
     advance(ms(200));
-    end_attempt(kHandOver, Ending::full);
+    end_attempt(kHandOver, Ending::refused);
     EXPECT_EQ(ledger.held_since(kRequest), now);
 }
 
@@ -227,7 +227,7 @@
     const Instant since = now;
     start_hand_over();
     advance(ms(300));
-    end_attempt(kHandOver, Ending::retracted);
+    end_attempt(kHandOver, Ending::cancelled);
     EXPECT_EQ(ledger.held_since(kRequest), since);
     ledger.attempt_started(kRequest, kSecondPrefill, kOther, true, now);
     advance(lease() - ms(300));
@@ -242,7 +242,7 @@
     const Instant began = now;
     ledger.answer_began(kRequest, kPrefill, now);
     advance(ms(350));
-    end_attempt(kPrefill, Ending::broken);
+    end_attempt(kPrefill, Ending::connection_lost);
     EXPECT_EQ(ledger.held_since(kRequest), began);
     EXPECT_EQ(ledger.entries(kRequest)[0].reason, HoldReason::answer_began);
 }
@@ -250,11 +250,11 @@
 // A release names the request, so it would also free the state that the next hand-over needs.
 TEST_F(LedgerTest, OlderStateIsNotReleasedWhileANewerOneWaitsForItsHandOver) {
     ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
-    end_attempt(kPrefill, Ending::broken);
+    end_attempt(kPrefill, Ending::connection_lost);
     want_all_releases();
     advance(ms(100));
     ledger.attempt_started(kRequest, kSecondPrefill, kOther, true, now);
-    end_attempt(kSecondPrefill, Ending::read);
+    end_attempt(kSecondPrefill, Ending::prefilled);
     EXPECT_EQ(need(), Need::not_yet);
     want_all_releases();
     EXPECT_EQ(need(), Need::due);
@@ -262,22 +262,22 @@
 
 TEST_F(LedgerTest, PrefillThatMayEndLateIsReleasedAfterTheStream) {
     ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
-    end_attempt(kPrefill, Ending::retracted);
+    end_attempt(kPrefill, Ending::cancelled);
     ledger.attempt_started(kRequest, kSecondPrefill, kOther, true, now);
-    end_attempt(kSecondPrefill, Ending::read);
+    end_attempt(kSecondPrefill, Ending::prefilled);
     start_hand_over();
     want_all_releases();
     ledger.stream_began(kRequest, kHandOver, now);
     advance(ms(5000));
     EXPECT_EQ(need(), Need::not_yet);
-    end_attempt(kHandOver, Ending::settled);
+    end_attempt(kHandOver, Ending::completed);
     EXPECT_EQ(need(), Need::due);
 }
 
 // A prefill that ended without an answer may still leave its state while the next attempt lies unread.
 TEST_F(LedgerTest, LatePrefillDuringAnUnansweredAttemptIsReleasedAgain) {
     ledger.attempt_started(kRequest, kPrefill, kPrefillServer, true, now);
-    end_attempt(kPrefill, Ending::broken);
+    end_attempt(kPrefill, Ending::connection_lost);
     want_all_releases();
     ledger.attempt_started(kRequest, kSecondPrefill, kOther, true, now);
     advance(lease());
@@ -293,9 +293,9 @@
     ledger.release_written(kRequest, kOther, written);
     start_hand_over();
     ledger.stream_began(kRequest, kHandOver, now);
-    end_attempt(kHandOver, Ending::settled);
+    end_attempt(kHandOver, Ending::completed);
     const HoldLedger::ReleaseResult result = ledger.release_answered(kRequest, kOther, written, now);
-    EXPECT_EQ(result.proof, Proof::let_go);
+    EXPECT_EQ(result.proof, Proof::released);
     EXPECT_TRUE(guard.check_released(result.held_since, now));
 }
 
@@ -305,24 +305,24 @@
     const Instant written = now;
     ledger.release_written(kRequest, kOther, written);
     start_hand_over();
-    end_attempt(kHandOver, Ending::settled);
+    end_attempt(kHandOver, Ending::completed);
     advance(ms(2000));
     ledger.attempt_started(kRequest, kSecondPrefill, kPrefillServer, true, now);
     const HoldLedger::ReleaseResult result = ledger.release_answered(kRequest, kOther, written, now);
     EXPECT_EQ(result.proof, Proof::nothing);
     EXPECT_TRUE(guard.check_released(result.held_since, now));
-    EXPECT_TRUE(ledger.is_attempt_out(kRequest));
+    EXPECT_TRUE(ledger.has_attempt_in_flight(kRequest));
 }
 
 TEST_F(LedgerTest, HistoryShowsWhyAReleaseProvedNothing) {
-    ledger.name_servers([](ServerIndex server) { return "s" + std::to_string(server); });
+    ledger.set_server_namer([](ServerIndex server) { return "s" + std::to_string(server); });
     complete_prefill();
     start_hand_over();
     advance(lease());
     want_all_releases();
     send_release();
     advance(ms(500));
-    end_attempt(kHandOver, Ending::late);
+    end_attempt(kHandOver, Ending::timed_out);
     const std::string history = ledger.history(kRequest);
     EXPECT_NE(history.find("0.0 prefill at s1, 1 out"), std::string::npos) << history;
     EXPECT_NE(history.find("release with an attempt out answered by s3, 1 out"), std::string::npos)
@@ -333,27 +333,27 @@
     constexpr RequestKey kMaxRequests = 100000;
     for (RequestKey key = 1; key <= kMaxRequests + 3; ++key) {
         ledger.attempt_started(key, key, kPrefillServer, true, now);
-        ledger.attempt_over(key, key, Ending::broken, now);
+        ledger.attempt_ended(key, key, Ending::connection_lost, now);
     }
     EXPECT_EQ(ledger.size(), kMaxRequests);
     EXPECT_EQ(ledger.overflows(), 3u);
     EXPECT_EQ(ledger.entries(kMaxRequests).size(), 1u);
     EXPECT_TRUE(ledger.entries(kMaxRequests + 1).empty());
     advance(ms(5000));
-    EXPECT_EQ(ledger.need_of_release(1, now), Need::due);
-    EXPECT_EQ(ledger.need_of_release(kMaxRequests + 1, now), Need::nothing);
+    EXPECT_EQ(ledger.release_need(1, now), Need::due);
+    EXPECT_EQ(ledger.release_need(kMaxRequests + 1, now), Need::nothing);
 }
 
 TEST_F(LedgerTest, FinishedRequestsAreErased) {
     for (RequestKey key = 100; key < 200; ++key) {
         ledger.attempt_started(key, kPrefill, kPrefillServer, true, now);
-        ledger.attempt_over(key, kPrefill, Ending::read, now);
+        ledger.attempt_ended(key, kPrefill, Ending::prefilled, now);
         ledger.attempt_started(key, kHandOver, kDecodeServer, false, now);
-        ledger.attempt_over(key, kHandOver, Ending::settled, now);
+        ledger.attempt_ended(key, kHandOver, Ending::completed, now);
     }
     EXPECT_EQ(ledger.size(), 0u);
     complete_prefill();
-    const auto abandoned = ledger.give_up(kRequest);
+    const auto abandoned = ledger.abandon(kRequest);
     EXPECT_EQ(abandoned.held_since, now);
     EXPECT_EQ(ledger.size(), 0u);
 }
--- a/tests/core/send_guard_test.cpp
+++ b/tests/core/send_guard_test.cpp
@@ -6,14 +6,14 @@
 namespace copperfront {
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
 constexpr Instant kNow{5000000000};
 
 SendGuard::AttemptStart default_start() {
     SendGuard::AttemptStart facts;
-    facts.made = 1;
-    facts.most = 4;
-    facts.left = ms(1000);
+    facts.attempts = 1;
+    facts.max_attempts = 4;
+    facts.time_left = ms(1000);
     return facts;
 }
 
@@ -29,17 +29,17 @@
     answered.answered = true;
     EXPECT_EQ(guard.may_start(answered), Denial::already_answered);
     auto second = default_start();
-    second.attempt_out = true;
+    second.attempt_in_flight = true;
     EXPECT_EQ(guard.may_start(second), Denial::attempt_in_flight);
     auto repeated = default_start();
     repeated.effect = Effect::effectful;
     repeated.may_have_run = true;
     EXPECT_EQ(guard.may_start(repeated), Denial::effect_may_have_happened);
     auto too_many = default_start();
-    too_many.made = 5;
+    too_many.attempts = 5;
     EXPECT_EQ(guard.may_start(too_many), Denial::too_many_attempts);
     auto out_of_time = default_start();
-    out_of_time.left = {};
+    out_of_time.time_left = {};
     EXPECT_EQ(guard.may_start(out_of_time), Denial::no_time_left);
     for (const Denial denial :
          {Denial::already_answered, Denial::attempt_in_flight, Denial::effect_may_have_happened,
@@ -63,7 +63,7 @@
 HoldLedger ledger_with_state() {
     HoldLedger ledger(ms(1000));
     ledger.attempt_started(kRequest, 1, 0, true, kNow);
-    ledger.attempt_over(kRequest, 1, Ending::read, kNow);
+    ledger.attempt_ended(kRequest, 1, Ending::prefilled, kNow);
     ledger.want_release(kRequest, 1);
     return ledger;
 }
@@ -85,7 +85,7 @@
     SendGuard guard(ms(1000));
     HoldLedger ledger = ledger_with_state();
     ledger.attempt_started(kRequest, 2, 1, true, kNow);
-    ledger.attempt_over(kRequest, 2, Ending::broken, kNow);
+    ledger.attempt_ended(kRequest, 2, Ending::connection_lost, kNow);
     ledger.attempt_started(kRequest, 3, 1, false, kNow);
     ledger.stream_began(kRequest, 3, kNow);
     EXPECT_EQ(guard.may_release(ledger, kRequest, kNow + ms(60000)), Denial::may_take_newer_state);
@@ -95,7 +95,7 @@
     SendGuard guard(ms(1000));
     HoldLedger ledger = ledger_with_state();
     ledger.attempt_started(kRequest, 2, 1, false, kNow);
-    ledger.attempt_over(kRequest, 2, Ending::retracted, kNow);
+    ledger.attempt_ended(kRequest, 2, Ending::cancelled, kNow);
     EXPECT_EQ(guard.may_release(ledger, kRequest, kNow), Denial::close_not_arrived);
     EXPECT_EQ(guard.may_release(ledger, kRequest, kNow + SendGuard::close_travel_time()), Denial::none);
     EXPECT_EQ(guard.may_release(ledger, kRequest + 1, kNow), Denial::nothing_held);
@@ -114,7 +114,7 @@
     EXPECT_EQ(guard.may_accept(true, ms(699)), Denial::none);
     EXPECT_EQ(guard.may_accept(true, ms(700)), Denial::shutting_down);
     SendGuard::Shutdown facts;
-    facts.since_asked = ms(700);
+    facts.since_requested = ms(700);
     EXPECT_EQ(guard.may_exit(facts), Denial::still_accepting);
     facts.listening = false;
     EXPECT_EQ(guard.may_exit(facts), Denial::none);
--- a/tests/desk/play_test.cpp
+++ b/tests/desk/play_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
 constexpr ServerIndex kServers = 8;  // four prefill servers, three decode servers, one mixed server
 constexpr std::uint16_t kKinds[kServers] = {0, 0, 0, 0, 1, 1, 1, 2};
 
@@ -76,10 +76,10 @@
     return out + ")";
 }
 
-struct SimulatedHost : Outside {
+struct SimulatedHost : DispatcherHost {
     struct InFlight {
         ServerIndex server;
-        QueryIndex request;
+        RequestIndex request;
         bool is_prefill, cancelled = false;
         AttemptId state;
     };
@@ -90,7 +90,7 @@
     };
     struct IssuedRequest {
         Instant arrived_at;
-        Span budget;
+        Duration budget;
         Effect effect = Effect::pure;
         int answers = 0, in_flight = 0;
         bool streaming = false, client_left = false, ended = false, may_have_run = false;
@@ -100,7 +100,7 @@
     Instant next_wakeup{INT64_MAX};
     std::map<AttemptId, InFlight> attempts;
     std::map<std::pair<ServerIndex, AttemptId>, HeldState> states;
-    std::map<QueryIndex, std::uint64_t> request_numbers;
+    std::map<RequestIndex, std::uint64_t> request_numbers;
     std::vector<IssuedRequest> requests;
     std::set<ServerIndex> draining_servers;
     std::string violation;
@@ -111,11 +111,11 @@
     void record_violation(const std::string& what) {
         if (violation.empty()) violation = what;
     }
-    IssuedRequest& of(QueryIndex request) { return requests[request_numbers.at(request)]; }
+    IssuedRequest& of(RequestIndex request) { return requests[request_numbers.at(request)]; }
 
     Instant now() const override { return clock; }
-    void wake_at(Instant at) override { next_wakeup = at; }
-    void record_attempt(AttemptId attempt, ServerIndex to, QueryIndex request, bool is_prefill,
+    void schedule_wakeup(Instant at) override { next_wakeup = at; }
+    void record_attempt(AttemptId attempt, ServerIndex to, RequestIndex request, bool is_prefill,
                         AttemptId state) {
         IssuedRequest& issued = of(request);
         if (issued.ended) record_violation("an attempt for a request that has ended");
@@ -127,14 +127,14 @@
         ++issued.in_flight;
         attempts[attempt] = {to, request, is_prefill, false, state};
     }
-    void send_read(AttemptId attempt, ServerIndex to, QueryIndex request, Span) override {
+    void send_prefill(AttemptId attempt, ServerIndex to, RequestIndex request, Duration) override {
         record_attempt(attempt, to, request, true, 0);
     }
-    void send_write(AttemptId attempt, ServerIndex to, QueryIndex request, AttemptId state, ServerIndex,
-                    Span) override {
+    void send_decode(AttemptId attempt, ServerIndex to, RequestIndex request, AttemptId state, ServerIndex,
+                     Duration) override {
         record_attempt(attempt, to, request, false, state);
     }
-    void call_off(AttemptId attempt, ServerIndex) override {
+    void cancel_attempt(AttemptId attempt, ServerIndex) override {
         const auto it = attempts.find(attempt);
         if (it == attempts.end() || it->second.cancelled)
             return record_violation("cancelled an attempt that is not in flight");
@@ -142,7 +142,7 @@
         attempt_finished(attempt, !it->second.is_prefill);
     }
     // Every third attempt still waits for its connection, so it has not run.
-    bool unsend(AttemptId attempt, ServerIndex) override {
+    bool cancel_if_unsent(AttemptId attempt, ServerIndex) override {
         const auto it = attempts.find(attempt);
         if (it == attempts.end() || it->second.cancelled || attempt % 3 != 0) return false;
         attempt_finished(attempt, false);
@@ -164,22 +164,23 @@
         ++probes;
         pending_probes.push_back(server);
     }
-    void tell_peers(std::string_view note) override { notes.emplace_back(note); }
+    void notify_peers(std::string_view note) override { notes.emplace_back(note); }
     void subscribe() override {}
-    void final_answer(QueryIndex request, bool declined) {
+    void final_answer(RequestIndex request, bool is_rejection) {
         IssuedRequest& issued = of(request);
         if (++issued.answers > 1 || issued.client_left)
             record_violation("a second final answer, or one after the client left");
-        if (declined && issued.effect == Effect::effectful && (issued.may_have_run || issued.in_flight > 0))
+        if (is_rejection && issued.effect == Effect::effectful &&
+            (issued.may_have_run || issued.in_flight > 0))
             record_violation("rejected a request that may have run or has an attempt in flight");
         if (!issued.streaming && clock > issued.arrived_at + issued.budget)
             record_violation("a final answer after the deadline");
         issued.ended = true;
     }
-    void settled(QueryIndex request) override { final_answer(request, false); }
-    void declined(QueryIndex request, Span, std::string_view) override { final_answer(request, true); }
-    void given_up(QueryIndex request, std::string_view) override { final_answer(request, false); }
-    void closed(QueryIndex request) override {
+    void completed(RequestIndex request) override { final_answer(request, false); }
+    void rejected(RequestIndex request, Duration, std::string_view) override { final_answer(request, true); }
+    void abandoned(RequestIndex request, std::string_view) override { final_answer(request, false); }
+    void closed(RequestIndex request) override {
         if (of(request).in_flight > 0) record_violation("closed with attempts in flight");
         request_numbers.erase(request);
     }
@@ -196,7 +197,7 @@
     SimulatedHost host;
     GatewayTerms terms, shadow_terms;
     bool evaluates_shadow_terms = false;
-    std::unique_ptr<Desk> desk;
+    std::unique_ptr<Dispatcher> dispatcher;
     std::minstd_rand rng;
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(rng); }
@@ -207,37 +208,37 @@
         return out;
     }
     void start() {
-        desk = std::make_unique<Desk>(terms.core, host, 5);
-        desk->terms_changed(terms.core, limits());
-        if (evaluates_shadow_terms) desk->watch(&shadow_terms.core, 5);
-        std::vector<Listing> list(kServers);
+        dispatcher = std::make_unique<Dispatcher>(terms.core, host, 5);
+        dispatcher->terms_changed(terms.core, limits());
+        if (evaluates_shadow_terms) dispatcher->evaluate_shadow_terms(&shadow_terms.core, 5);
+        std::vector<ServerListing> list(kServers);
         for (ServerIndex s = 0; s < kServers; ++s) {
             list[s].server = s;
             list[s].kind = kKinds[s];
-            list[s].mark = s + 1;
+            list[s].name_hash = s + 1;
         }
-        desk->list_arrived(list, true);
+        dispatcher->list_arrived(list, true);
     }
     void send_request() {
-        Arrival a;
+        RequestInfo a;
         a.category = static_cast<std::uint16_t>(uniform() * 3);
         a.prompt_tokens = std::floor(uniform() * 600);
-        a.most_tokens = 50;
+        a.max_output_tokens = 50;
         a.session = static_cast<std::uint64_t>(uniform() * 5);
-        a.budget = ms(200 + static_cast<std::int64_t>(uniform() * 1800));
-        RouteQuery wanted;
+        a.time_budget = ms(200 + static_cast<std::int64_t>(uniform() * 1800));
+        RouteRequest wanted;
         wanted.category = a.category;
         wanted.listener = 0;
         wanted.prompt_tokens = a.prompt_tokens;
         const std::uint32_t route_index = terms.table.find(wanted);
-        const QueryIndex request = desk->open();
+        const RequestIndex request = dispatcher->open();
         SimulatedHost::IssuedRequest issued;
         issued.arrived_at = host.clock;
-        issued.budget = a.budget;
+        issued.budget = a.time_budget;
         issued.effect = terms.core.categories[a.category].effect;
         host.request_numbers[request] = host.requests.size();
         host.requests.push_back(issued);
-        desk->query_came(request, a, route_index, terms.routes[route_index].limits);
+        dispatcher->request_arrived(request, a, route_index, terms.routes[route_index].limits);
     }
     LoadReport report() { return {uniform() < 0.8 ? uniform() : -1, uniform() < 0.5 ? 0 : uniform() * 5}; }
     // Answers a probe, and delivers a note that is repeated, altered or made up.
@@ -245,13 +246,13 @@
         if (!host.pending_probes.empty()) {
             const ServerIndex s = host.pending_probes.back();
             host.pending_probes.pop_back();
-            if (uniform() < 0.8) desk->probe_answered(s, uniform() < 0.8, report());
+            if (uniform() < 0.8) dispatcher->probe_answered(s, uniform() < 0.8, report());
         }
         std::string note = host.notes.empty() ? "u000010" : host.notes.back();
         if (uniform() < 0.5)
             note[static_cast<std::size_t>(uniform() * 0.999 * static_cast<double>(note.size()))] =
                 "uawz0f9"[static_cast<int>(uniform() * 7)];
-        desk->peer_told(note);
+        dispatcher->peer_note_received(note);
     }
     // Answers one attempt, or loses it.
     void answer_attempt(AttemptId id) {
@@ -260,19 +261,19 @@
             host.request_numbers.count(o.request) ? host.request_numbers.at(o.request) : 0;
         const bool was_cancelled = o.cancelled;
         const double choice = uniform();
-        Outcome outcome;
+        AttemptOutcome outcome;
         outcome.report = report();
         if (o.is_prefill) {
-            outcome.ending = choice < 0.7   ? Ending::read
-                             : choice < 0.8 ? Ending::full
-                             : choice < 0.9 ? Ending::broken
+            outcome.ending = choice < 0.7   ? Ending::prefilled
+                             : choice < 0.8 ? Ending::refused
+                             : choice < 0.9 ? Ending::connection_lost
                                             : Ending::error;
             // The server may hold the state whatever it answered, unless a cancel arrived first.
             if (!was_cancelled && (choice < 0.7 || (choice >= 0.8 && choice < 0.85)))
                 host.states[{o.server, id}] = {o.server, n, host.clock};
         } else if (choice < 0.5 && !was_cancelled) {
-            QueryIndex request = 0;
-            if (desk->token_came(id, request)) {
+            RequestIndex request = 0;
+            if (dispatcher->token_received(id, request)) {
                 host.states.erase({state_at(o.state), o.state});
                 SimulatedHost::IssuedRequest& issued = host.of(request);
                 if (issued.ended) host.record_violation("a token after the final answer");
@@ -281,33 +282,33 @@
                 issued.streaming = true;
             }
             if (!host.attempts.count(id) || host.attempts.at(id).cancelled || uniform() < 0.5) return;
-            outcome.ending = Ending::settled;
+            outcome.ending = Ending::completed;
         } else {
-            outcome.ending = choice < 0.6    ? Ending::full
+            outcome.ending = choice < 0.6    ? Ending::refused
                              : choice < 0.7  ? Ending::unreachable
-                             : choice < 0.85 ? Ending::broken
+                             : choice < 0.85 ? Ending::connection_lost
                                              : Ending::error;
-            outcome.no_state = choice >= 0.55 && choice < 0.6;
+            outcome.state_missing = choice >= 0.55 && choice < 0.6;
         }
         if (!was_cancelled) {
             const bool ran =
-                !o.is_prefill && outcome.ending != Ending::full && outcome.ending != Ending::unreachable;
+                !o.is_prefill && outcome.ending != Ending::refused && outcome.ending != Ending::unreachable;
             host.attempt_finished(id, ran);
         }
         host.attempts.erase(id);
-        desk->attempt_ended(id, outcome);
+        dispatcher->attempt_ended(id, outcome);
     }
     ServerIndex state_at(AttemptId state) const {
         for (const auto& [key, s] : host.states)
             if (key.second == state) return key.first;
         return 0;
     }
-    void advance(Span span) {
+    void advance(Duration span) {
         const Instant until = host.clock + span;
         while (host.next_wakeup <= until) {
             host.clock = std::max(host.clock, host.next_wakeup);
             host.next_wakeup = {INT64_MAX};
-            desk->time_came();
+            dispatcher->run_due_timers();
             host.check_held_states();
         }
         host.clock = until;
@@ -329,22 +330,22 @@
             SimulatedHost::IssuedRequest& issued = host.requests[it->second];
             if (!issued.ended) {
                 issued.client_left = issued.ended = true;
-                desk->query_left(it->first);
+                dispatcher->client_left(it->first);
             }
         } else if (choice < 0.76) {
-            Listing l;
+            ServerListing l;
             l.server = static_cast<ServerIndex>(uniform() * kServers);
             l.kind = kKinds[l.server];
-            l.mark = l.server + 1;
+            l.name_hash = l.server + 1;
             const bool drains = uniform() < 0.5 && host.draining_servers.size() < 3;
-            l.standing = drains ? Standing::draining : Standing::ready;
+            l.status = drains ? ServerStatus::draining : ServerStatus::ready;
             if (drains)
                 host.draining_servers.insert(l.server);
             else
                 host.draining_servers.erase(l.server);
-            desk->list_arrived({{l}}, false);
+            dispatcher->list_arrived({{l}}, false);
         } else if (choice < 0.765) {
-            desk->terms_changed(terms.core, limits());
+            dispatcher->terms_changed(terms.core, limits());
         } else if (choice < 0.8) {
             receive_probe_or_note();
         } else {
@@ -365,7 +366,7 @@
         const int routes = *rc::gen::inRange(0, 5);
         for (int n = 0; n < routes; ++n) routes_text += random_route(n);
         RandomRun run;
-        std::vector<Fault> faults;
+        std::vector<Diagnostic> diagnostics;
         Overrides o;
         o.peer_listen = "127.0.0.1:8";
         const bool with_reports = *rc::gen::arbitrary<bool>();
@@ -373,8 +374,8 @@
         const auto full_text = [&](bool reporting) {
             return kBase + std::string(reporting ? kReporting : kPlain) + routes_text + ")";
         };
-        if (!read_terms(full_text(with_reports), o, run.terms, faults) ||
-            !read_terms(full_text(!with_reports), o, run.shadow_terms, faults)) {
+        if (!read_terms(full_text(with_reports), o, run.terms, diagnostics) ||
+            !read_terms(full_text(!with_reports), o, run.shadow_terms, diagnostics)) {
             ++rejected_files;
             return;
         }
@@ -384,19 +385,19 @@
         for (int n = 0; n < 400 && run.host.violation.empty(); ++n) run.step();
         // No more answers arrive: every request must end by itself.
         run.advance(ms(12000));
-        const Tally& t = run.desk->tally();
-        hedges += t.copies;
-        requests += t.came;
-        retries_denied += t.not_again;
+        const DispatcherCounters& t = run.dispatcher->counters();
+        hedges += t.hedges;
+        requests += t.received;
+        retries_denied += t.retries_denied;
         over_limit += t.over_limit;
         probes += run.host.probes;
-        if (const Watching* w = run.desk->watching()) {
-            const Differences& d = w->differences();
-            compared += d.alike + d.reader + d.writer + d.held;
+        if (const ShadowEvaluation* w = run.dispatcher->shadow_evaluation()) {
+            const ShadowDifferences& d = w->differences();
+            compared += d.same_server + d.other_prefill_server + d.other_decode_server + d.not_sent;
         }
         if (!run.host.violation.empty()) RC_FAIL(run.host.violation + "\n" + full_text(with_reports));
-        RC_ASSERT(run.desk->open_queries() == 0);
-        RC_ASSERT(run.desk->attempts_out() == 0);
+        RC_ASSERT(run.dispatcher->open_requests() == 0);
+        RC_ASSERT(run.dispatcher->attempts_out() == 0);
         RC_ASSERT(run.host.states.empty());
         for (const SimulatedHost::IssuedRequest& issued : run.host.requests)
             RC_ASSERT(issued.answers == (issued.client_left ? 0 : 1));
--- a/tests/explore/hold_explorer_test.cpp
+++ b/tests/explore/hold_explorer_test.cpp
@@ -45,13 +45,13 @@
 }
 
 std::string report_of(const RequestKind& kind, std::size_t requests, const Choices& choices,
-                      const HoldWorld& world) {
+                      const HoldSimulation& world) {
     return world.finding() + "\nEXPLORE_CHOICES=\"" + text_of(kind, requests, choices) + "\"\n" +
            world.trace();
 }
 
-HoldWorld::Options options_for(const RequestKind& kind, std::size_t requests) {
-    HoldWorld::Options options;
+HoldSimulation::Options options_for(const RequestKind& kind, std::size_t requests) {
+    HoldSimulation::Options options;
     options.effect = kind.effect;
     options.requests = requests;
     return options;
@@ -59,7 +59,7 @@
 
 class HoldExplorer : public testing::TestWithParam<RequestKind> {};
 
-void apply(HoldWorld& world, const Choices& choices) {
+void apply(HoldSimulation& world, const Choices& choices) {
     for (const std::size_t choice : choices) {
         world.step([choice](std::size_t) { return choice; });
     }
@@ -67,7 +67,7 @@
 
 // Returns the number of events that are possible after these choices.
 std::size_t count_choices(const RequestKind& kind, const Choices& choices) {
-    HoldWorld world(options_for(kind, 1));
+    HoldSimulation world(options_for(kind, 1));
     apply(world, choices);
     std::size_t choice_count = 0;
     world.step([&choice_count](std::size_t count) {
@@ -95,7 +95,7 @@
     for (std::size_t current_depth = 0; current_depth <= depth; ++current_depth) {
         std::vector<Choices> extended;
         for (const Choices& choices : level) {
-            HoldWorld world(options_for(kind, 1));
+            HoldSimulation world(options_for(kind, 1));
             apply(world, choices);
             ++visited;
             if (world.finding().empty() && !visited_states.insert(world.hash()).second) continue;
@@ -120,7 +120,7 @@
             return std::uniform_int_distribution<std::size_t>(0, count - 1)(chance);
         };
         const std::size_t requests = 1 + below(2);
-        HoldWorld world(options_for(kind, requests));
+        HoldSimulation world(options_for(kind, requests));
         Choices choices;
         for (std::size_t n = kMinWalkLength + below(kMaxWalkLength - kMinWalkLength);
              n > 0 && world.finding().empty(); --n) {
@@ -148,7 +148,7 @@
     words >> name >> requests >> list;
     for (const RequestKind& kind : kRequestKinds) {
         if (name != kind.name) continue;
-        HoldWorld world(options_for(kind, requests));
+        HoldSimulation world(options_for(kind, requests));
         std::istringstream numbers(list);
         std::string number;
         while (std::getline(numbers, number, ',')) {
--- a/tests/explore/hold_world.cpp
+++ b/tests/explore/hold_world.cpp
@@ -6,16 +6,16 @@
 namespace copperfront::explore {
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
-constexpr Span kMaxHoldTime = ms(1300);
-constexpr Span kPollInterval = ms(20);
-constexpr Span kCloseTravelTime = ms(2), kResetTravelTime = ms(150);
-constexpr Span kAnswerSlack = ms(66);
-constexpr Span kLeaveSlack = ms(100);
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration kMaxHoldTime = ms(1300);
+constexpr Duration kPollInterval = ms(20);
+constexpr Duration kCloseTravelTime = ms(2), kResetTravelTime = ms(150);
+constexpr Duration kAnswerSlack = ms(66);
+constexpr Duration kLeaveSlack = ms(100);
 constexpr std::size_t kMaxHangs = 4, kMaxLosses = 4;
-constexpr Span kAgeResolution = ms(50);  // resolution of ages in the hash
+constexpr Duration kAgeResolution = ms(50);  // resolution of ages in the hash
 constexpr std::size_t kGoldenRatio = 0x9e3779b97f4a7c15ULL;
-constexpr Span kAdvanceSteps[] = {ms(1), ms(20), ms(120), ms(400)};
+constexpr Duration kAdvanceSteps[] = {ms(1), ms(20), ms(120), ms(400)};
 
 Terms terms_for(Effect effect) {
     Terms terms;
@@ -24,78 +24,80 @@
     terms.categories[0].window = ms(2000);
     terms.categories[0].latency_goal = ms(1000);
     terms.categories[0].token_gap = ms(50);
-    terms.kinds = {{Role::reader, 100000}, {Role::writer, 100000}};
+    terms.kinds = {{Role::prefill, 100000}, {Role::decode, 100000}};
     terms.cancel = true;
     terms.max_attempts = 6;
-    terms.max_stay_away = ms(1000);
+    terms.max_retry_after = ms(1000);
     terms.quantum = ms(4);
-    terms.connect_within = ms(250);
+    terms.connect_timeout = ms(250);
     terms.release_within = ms(1000);
     return terms;
 }
 
 }  // namespace
 
-HoldWorld::HoldWorld(const Options& options)
+HoldSimulation::HoldSimulation(const Options& options)
     : hangs_left_(kMaxHangs), losses_left_(kMaxLosses), effectful_(options.effect == Effect::effectful) {
-    desk_ = std::make_unique<Desk>(terms_for(options.effect), static_cast<Outside&>(*this), 7);
+    dispatcher_ =
+        std::make_unique<Dispatcher>(terms_for(options.effect), static_cast<DispatcherHost&>(*this), 7);
     releases_ = std::make_unique<Releases>(static_cast<Clock&>(*this), static_cast<ReleasePool&>(*this));
-    std::vector<Listing> list(kServers);
+    std::vector<ServerListing> list(kServers);
     for (ServerIndex server = 0; server < kServers; ++server) {
         list[server].server = server;
         list[server].kind = server < 2 ? 0 : 1;
-        list[server].mark = server + 1;
+        list[server].name_hash = server + 1;
     }
-    desk_->list_arrived(list, true);
+    dispatcher_->list_arrived(list, true);
     next_poll_ = now_;
     for (std::size_t n = 0; n < options.requests; ++n) send_request(options);
 }
 
-HoldWorld::~HoldWorld() = default;
+HoldSimulation::~HoldSimulation() = default;
 
-void HoldWorld::report_finding(const std::string& description) {
+void HoldSimulation::report_finding(const std::string& description) {
     if (finding_.empty()) finding_ = description;
 }
 
-void HoldWorld::add_to_trace(const std::string& description) {
+void HoldSimulation::add_to_trace(const std::string& description) {
     trace_ += std::to_string((now_.us - 1'000'000'000) / 1000) + " ms: " + description + "\n";
 }
 
-void HoldWorld::send_request(const Options& options) {
+void HoldSimulation::send_request(const Options& options) {
     Request request;
     request.id = "q" + std::to_string(requests_.size());
     request.arrived_at = request.hold_limit_since = now_;
     request.deadline = now_ + options.budget;
-    request.request_index = desk_->open(1000 + requests_.size());
+    request.request_index = dispatcher_->open(1000 + requests_.size());
     requests_.push_back(request);
-    Arrival facts;
-    facts.prompt_tokens = 1000;
-    facts.most_tokens = 100;
-    facts.budget = options.budget;
-    desk_->query_came(request.request_index, facts);
+    RequestInfo info;
+    info.prompt_tokens = 1000;
+    info.max_output_tokens = 100;
+    info.time_budget = options.budget;
+    dispatcher_->request_arrived(request.request_index, info);
 }
 
-HoldWorld::Request* HoldWorld::find_request(QueryIndex request_index) {
+HoldSimulation::Request* HoldSimulation::find_request(RequestIndex request_index) {
     for (Request& request : requests_) {
         if (request.request_index == request_index) return &request;
     }
     return nullptr;
 }
 
-HoldWorld::Request& HoldWorld::request_by_id(const std::string& id) {
+HoldSimulation::Request& HoldSimulation::request_by_id(const std::string& id) {
     return *std::find_if(requests_.begin(), requests_.end(), [&](const Request& r) { return r.id == id; });
 }
 
-HoldWorld::Attempt* HoldWorld::find(AttemptId attempt_id) {
+HoldSimulation::Attempt* HoldSimulation::find(AttemptId attempt_id) {
     const auto it = attempts_.find(attempt_id);
     return it == attempts_.end() ? nullptr : &it->second;
 }
 
-void HoldWorld::remove(AttemptId attempt_id) { attempts_.erase(attempt_id); }
+void HoldSimulation::remove(AttemptId attempt_id) { attempts_.erase(attempt_id); }
 
 // ---- actions of the gateway
 
-void HoldWorld::attempt_sent(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, bool prefill) {
+void HoldSimulation::attempt_sent(AttemptId attempt_id, ServerIndex to, RequestIndex request_index,
+                                  bool prefill) {
     Request& request = *find_request(request_index);
     add_to_trace(std::string(prefill ? "prefill " : "hand-over ") + std::to_string(attempt_id) + " of " +
                  request.id + " to #" + std::to_string(to));
@@ -117,16 +119,17 @@
     attempts_[attempt_id] = attempt;
 }
 
-void HoldWorld::send_read(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, Span) {
+void HoldSimulation::send_prefill(AttemptId attempt_id, ServerIndex to, RequestIndex request_index,
+                                  Duration) {
     attempt_sent(attempt_id, to, request_index, true);
 }
 
-void HoldWorld::send_write(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, AttemptId,
-                           ServerIndex, Span) {
+void HoldSimulation::send_decode(AttemptId attempt_id, ServerIndex to, RequestIndex request_index, AttemptId,
+                                 ServerIndex, Duration) {
     attempt_sent(attempt_id, to, request_index, false);
 }
 
-void HoldWorld::call_off(AttemptId attempt_id, ServerIndex) {
+void HoldSimulation::cancel_attempt(AttemptId attempt_id, ServerIndex) {
     Attempt* const attempt = find(attempt_id);
     if (attempt == nullptr) return;
     add_to_trace("cancel " + std::to_string(attempt_id));
@@ -137,7 +140,7 @@
     restart_hold_limit(attempt->request);
 }
 
-bool HoldWorld::unsend(AttemptId attempt_id, ServerIndex) {
+bool HoldSimulation::cancel_if_unsent(AttemptId attempt_id, ServerIndex) {
     Attempt* const attempt = find(attempt_id);
     if (attempt == nullptr || attempt->phase != Phase::connecting) return false;
     add_to_trace("withdraw unsent " + std::to_string(attempt_id));
@@ -145,88 +148,88 @@
     return true;
 }
 
-void HoldWorld::release(ServerIndex at, AttemptId state) {
+void HoldSimulation::release(ServerIndex at, AttemptId state) {
     for (const Request& request : requests_) {
-        const RequestKey key = desk_->key_of(request.request_index);
+        const RequestKey key = dispatcher_->key_of(request.request_index);
         for (const HoldLedger::Entry& entry : ledger().entries(key)) {
             if (entry.attempt != state) continue;
             ReleaseOrder order;
             order.key = key;
             order.id = request.id;
             order.server = at;
-            order.unheard = entry.reason != HoldReason::prefill_answered;
+            order.unanswered = entry.reason != HoldReason::prefill_answered;
             order.may_be_followed = request.answers == 0 && !request.client_left;
             return releases_->order(order);
         }
     }
 }
 
-void HoldWorld::request_answered(QueryIndex request_index, bool rejected) {
+void HoldSimulation::request_answered(RequestIndex request_index, bool is_rejection) {
     Request& request = *find_request(request_index);
-    add_to_trace("final answer to " + request.id + (rejected ? ": rejected" : ""));
+    add_to_trace("final answer to " + request.id + (is_rejection ? ": rejected" : ""));
     if (++request.answers > 1) report_finding("lost: a second final answer");
     if (!request.streaming && now_ > request.deadline + kAnswerSlack)
         report_finding("lost: a final answer too late");
-    if (rejected && effectful_ && request.executions > 0)
+    if (is_rejection && effectful_ && request.executions > 0)
         report_finding("duplicate: rejected after it has run");
 }
 
-ReleaseCallId HoldWorld::start_release(ServerIndex server, const std::string& id) {
+ReleaseCallId HoldSimulation::start_release(ServerIndex server, const std::string& id) {
     const ReleaseCallId call = next_release_call_++;
     release_calls_[call] = {call, server, id, now_};
     add_to_trace("release of " + id + " to #" + std::to_string(server));
     return call;
 }
 
-void HoldWorld::cancel_release(ReleaseCallId call) { release_calls_.erase(call); }
+void HoldSimulation::cancel_release(ReleaseCallId call) { release_calls_.erase(call); }
 
 // ---- actions of servers, clients and the network
 
 // The time limit on held states restarts in full with the outcome of an attempt.
-void HoldWorld::restart_hold_limit(const std::string& request) {
+void HoldSimulation::restart_hold_limit(const std::string& request) {
     request_by_id(request).hold_limit_since = now_;
 }
 
-void HoldWorld::end_attempt(AttemptId attempt_id, Ending ending, bool no_state) {
+void HoldSimulation::end_attempt(AttemptId attempt_id, Ending ending, bool state_missing) {
     Attempt* const attempt = find(attempt_id);
     if (attempt == nullptr) return;
     const Attempt ended = *attempt;
     remove(attempt_id);
-    states_.attempt_over(ended.request, std::to_string(attempt_id));
+    states_.attempt_ended(ended.request, std::to_string(attempt_id));
     restart_hold_limit(ended.request);
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.ending = ending;
-    outcome.no_state = no_state;
-    if (ending != Ending::unreachable && ending != Ending::broken) last_heard_[ended.server] = now_;
-    desk_->attempt_ended(attempt_id, outcome);
+    outcome.state_missing = state_missing;
+    if (ending != Ending::unreachable && ending != Ending::connection_lost) last_heard_[ended.server] = now_;
+    dispatcher_->attempt_ended(attempt_id, outcome);
 }
 
-void HoldWorld::reset(AttemptId attempt_id) {
+void HoldSimulation::reset(AttemptId attempt_id) {
     Attempt& attempt = *find(attempt_id);
     attempt.closed = true;
     attempt.closed_at = now_;
     attempt.close_travel_time = kResetTravelTime;
     restart_hold_limit(attempt.request);
-    Outcome outcome;
-    outcome.ending = Ending::broken;
-    desk_->attempt_ended(attempt_id, outcome);
+    AttemptOutcome outcome;
+    outcome.ending = Ending::connection_lost;
+    dispatcher_->attempt_ended(attempt_id, outcome);
 }
 
-void HoldWorld::arrive(AttemptId attempt_id) {
+void HoldSimulation::arrive(AttemptId attempt_id) {
     Attempt& attempt = *find(attempt_id);
     attempt.phase = Phase::working;
     if (attempt.prefill) return;
     if (!states_.hand_over_arrived(attempt.request, std::to_string(attempt_id))) {
         if (attempt.closed) return remove(attempt_id);
-        end_attempt(attempt_id, Ending::full, true);
+        end_attempt(attempt_id, Ending::refused, true);
     }
 }
 
-void HoldWorld::take_state(AttemptId attempt_id) {
+void HoldSimulation::take_state(AttemptId attempt_id) {
     Attempt& attempt = *find(attempt_id);
     if (!states_.fetch(attempt.request, std::to_string(attempt_id))) {
         if (attempt.closed) return remove(attempt_id);
-        return end_attempt(attempt_id, Ending::full, true);
+        return end_attempt(attempt_id, Ending::refused, true);
     }
     if (++request_by_id(attempt.request).executions > 1 && effectful_)
         report_finding("duplicate: an effect happened twice");
@@ -234,23 +237,23 @@
     start_stream(attempt_id);
 }
 
-void HoldWorld::start_stream(AttemptId attempt_id) {
+void HoldSimulation::start_stream(AttemptId attempt_id) {
     Attempt& attempt = *find(attempt_id);
     attempt.phase = Phase::streaming;
     last_heard_[attempt.server] = now_;
-    QueryIndex request_index = 0;
+    RequestIndex request_index = 0;
     const std::string request = attempt.request;
-    if (desk_->token_came(attempt_id, request_index)) request_by_id(request).streaming = true;
+    if (dispatcher_->token_received(attempt_id, request_index)) request_by_id(request).streaming = true;
 }
 
-void HoldWorld::server_sees_close(AttemptId attempt_id) {
+void HoldSimulation::server_sees_close(AttemptId attempt_id) {
     const Attempt& attempt = *find(attempt_id);
-    states_.attempt_over(attempt.request, std::to_string(attempt_id));
+    states_.attempt_ended(attempt.request, std::to_string(attempt_id));
     restart_hold_limit(attempt.request);
     remove(attempt_id);
 }
 
-void HoldWorld::add_attempt_events(std::vector<Event>& events, AttemptId attempt_id) {
+void HoldSimulation::add_attempt_events(std::vector<Event>& events, AttemptId attempt_id) {
     const Attempt& attempt = attempts_.at(attempt_id);
     const std::string name = std::to_string(attempt_id);
     const bool server_is_running = is_running(attempt.server);
@@ -260,9 +263,9 @@
     switch (attempt.phase) {
         case Phase::connecting:
             add("connected", [this, attempt_id] {
-                if (desk_->may_be_written(attempt_id,
-                                          find_request(attempts_.at(attempt_id).request_index)->client_left,
-                                          {}) != Denial::none) {
+                if (dispatcher_->may_still_send(
+                        attempt_id, find_request(attempts_.at(attempt_id).request_index)->client_left, {}) !=
+                    Denial::none) {
                     return end_attempt(attempt_id, Ending::unreachable);
                 }
                 find(attempt_id)->phase = Phase::in_socket;
@@ -276,18 +279,19 @@
         case Phase::working:
             break;
         case Phase::partly_answered:
-            add("reset partly answered", [this, attempt_id] { end_attempt(attempt_id, Ending::broken); });
+            add("reset partly answered",
+                [this, attempt_id] { end_attempt(attempt_id, Ending::connection_lost); });
             return;
         case Phase::streaming:
             if (server_is_running) {
-                add("stream ended", [this, attempt_id] { end_attempt(attempt_id, Ending::settled); });
+                add("stream ended", [this, attempt_id] { end_attempt(attempt_id, Ending::completed); });
             }
-            add("stream broke", [this, attempt_id] { end_attempt(attempt_id, Ending::broken); });
+            add("stream broke", [this, attempt_id] { end_attempt(attempt_id, Ending::connection_lost); });
             return;
     }
     add("reset while working", [this, attempt_id] { reset(attempt_id); });
     if (!server_is_running) return;
-    add("refused", [this, attempt_id] { end_attempt(attempt_id, Ending::full); });
+    add("refused", [this, attempt_id] { end_attempt(attempt_id, Ending::refused); });
     add("error", [this, attempt_id] { end_attempt(attempt_id, Ending::error); });
     if (!attempt.prefill) {
         add("state taken, stream begins", [this, attempt_id] { take_state(attempt_id); });
@@ -295,11 +299,11 @@
     }
     add("prefilled", [this, attempt_id] {
         states_.prefill_ended(find(attempt_id)->request, std::to_string(attempt_id));
-        end_attempt(attempt_id, Ending::read);
+        end_attempt(attempt_id, Ending::prefilled);
     });
     add("prefilled, answer lost", [this, attempt_id] {
         states_.prefill_ended(find(attempt_id)->request, std::to_string(attempt_id));
-        end_attempt(attempt_id, Ending::broken);
+        end_attempt(attempt_id, Ending::connection_lost);
     });
     add("prefilled, answer partly sent", [this, attempt_id] {
         Attempt& prefill = *find(attempt_id);
@@ -308,13 +312,13 @@
         prefill.since = now_;
         last_heard_[prefill.server] = now_;
         restart_hold_limit(prefill.request);
-        desk_->answer_began(attempt_id);
+        dispatcher_->answer_began(attempt_id);
     });
 }
 
 // Events of an attempt that the gateway has closed: a running server sees the close soon, and may have read
 // before that what lay in its socket.
-void HoldWorld::add_closed_events(std::vector<Event>& events, AttemptId attempt_id) {
+void HoldSimulation::add_closed_events(std::vector<Event>& events, AttemptId attempt_id) {
     const Attempt& attempt = attempts_.at(attempt_id);
     if (!is_running(attempt.server)) return;
     const std::string name = std::to_string(attempt_id);
@@ -331,7 +335,7 @@
     }
 }
 
-void HoldWorld::add_release_events(std::vector<Event>& events, ReleaseCallId call) {
+void HoldSimulation::add_release_events(std::vector<Event>& events, ReleaseCallId call) {
     const ReleaseCall& release_call = release_calls_.at(call);
     const std::string name = std::to_string(call) + " of " + release_call.request;
     if (is_running(release_call.server)) {
@@ -352,7 +356,7 @@
 }
 
 // Its server is running and has read the release.
-void HoldWorld::answer_release(ReleaseCallId call, bool answer_arrives) {
+void HoldSimulation::answer_release(ReleaseCallId call, bool answer_arrives) {
     const auto it = release_calls_.find(call);
     if (it == release_calls_.end()) return;
     const ReleaseCall done = it->second;
@@ -362,7 +366,7 @@
     releases_->call_ended(call, answer_arrives);
 }
 
-void HoldWorld::add_server_events(std::vector<Event>& events) {
+void HoldSimulation::add_server_events(std::vector<Event>& events) {
     for (ServerIndex server = 0; server < kServers; ++server) {
         const std::string name = " #" + std::to_string(server);
         if (is_running(server)) {
@@ -382,9 +386,9 @@
     }
 }
 
-std::vector<HoldWorld::Event> HoldWorld::events() {
+std::vector<HoldSimulation::Event> HoldSimulation::events() {
     std::vector<Event> all;
-    for (const Span duration : kAdvanceSteps) {
+    for (const Duration duration : kAdvanceSteps) {
         all.push_back({"", [this, duration] { advance(duration); }});
     }
     for (const auto& [attempt_id, attempt] : attempts_) {
@@ -397,14 +401,14 @@
                            Request& leaving = request_by_id(id);
                            leaving.client_left = true;
                            leaving.client_left_at = now_;
-                           desk_->query_left(leaving.request_index);
+                           dispatcher_->client_left(leaving.request_index);
                        }});
     }
     add_server_events(all);
     return all;
 }
 
-void HoldWorld::step(const Chooser& choose) {
+void HoldSimulation::step(const Chooser& choose) {
     const std::vector<Event> possible = events();
     const Event& event = possible[choose(possible.size())];
     if (!event.name.empty()) add_to_trace(event.name);
@@ -415,8 +419,8 @@
 
 // ---- time
 
-void HoldWorld::poll() {
-    const Span limit = guard().answer_completion_time();
+void HoldSimulation::poll() {
+    const Duration limit = guard().answer_completion_time();
     std::vector<AttemptId> incomplete, closes_seen;
     for (const auto& [attempt_id, attempt] : attempts_) {
         const bool answer_incomplete = attempt.phase == Phase::partly_answered && !attempt.closed;
@@ -427,10 +431,10 @@
     for (const AttemptId attempt_id : incomplete) {
         add_to_trace("abandons the rest of the answer of " + std::to_string(attempt_id));
         remove(attempt_id);
-        Outcome outcome;
-        outcome.ending = Ending::broken;
-        outcome.closed_here = true;
-        desk_->attempt_ended(attempt_id, outcome);
+        AttemptOutcome outcome;
+        outcome.ending = Ending::connection_lost;
+        outcome.closed_by_gateway = true;
+        dispatcher_->attempt_ended(attempt_id, outcome);
     }
     for (const AttemptId attempt_id : closes_seen) {
         if (find(attempt_id) != nullptr) server_sees_close(attempt_id);
@@ -442,10 +446,10 @@
             overdue_calls.push_back(call);
     }
     for (const ReleaseCallId call : overdue_calls) answer_release(call, true);
-    releases_->look();
+    releases_->send_due();
 }
 
-void HoldWorld::advance(Span duration) {
+void HoldSimulation::advance(Duration duration) {
     const Instant until = now_ + duration;
     while (finding_.empty()) {
         const Instant next = std::min(wake_at_, next_poll_);
@@ -453,7 +457,7 @@
         now_ = std::max(now_, next);
         if (wake_at_ <= now_) {
             wake_at_ = {INT64_MAX};
-            desk_->time_came();
+            dispatcher_->run_due_timers();
         }
         if (next_poll_ <= now_) {
             next_poll_ = now_ + kPollInterval;
@@ -465,7 +469,7 @@
     check();
 }
 
-void HoldWorld::check() {
+void HoldSimulation::check() {
     for (Request& request : requests_) {
         const bool finished = request.answers > 0 || request.client_left || request.streaming;
         if (!finished && now_ > request.deadline + kAnswerSlack) report_finding("lost: no final answer");
@@ -484,7 +488,7 @@
     if (guard().violations() > 0) report_finding("the gateway has counted a violation of its own");
 }
 
-void HoldWorld::recover_and_finish() {
+void HoldSimulation::recover_and_finish() {
     hung_.clear();
     add_to_trace("all servers run again");
     advance(ms(6000));
@@ -499,7 +503,7 @@
         report_finding("books: the ledger or the releases are not empty at the end");
 }
 
-std::size_t HoldWorld::hash() const {
+std::size_t HoldSimulation::hash() const {
     std::size_t seed = 0;
     const auto mix = [&seed](std::size_t value) { seed ^= value + kGoldenRatio + (seed << 6) + (seed >> 2); };
     const auto mix_time = [&](Instant at) {
@@ -521,9 +525,9 @@
         mix_time(request.arrived_at);
         mix_time(request.hold_limit_since);
         mix(states_.is_held(request.id));
-        const RequestKey key = desk_->key_of(request.request_index);
-        mix(desk_->ledger().entries(key).size());
-        mix(static_cast<std::size_t>(desk_->ledger().need_of_release(key, now_)));
+        const RequestKey key = dispatcher_->key_of(request.request_index);
+        mix(dispatcher_->ledger().entries(key).size());
+        mix(static_cast<std::size_t>(dispatcher_->ledger().release_need(key, now_)));
     }
     mix(hangs_left_);
     mix(losses_left_);
@@ -532,7 +536,7 @@
     return seed;
 }
 
-void HoldWorld::visit_by_last_heard(const ServerVisitor& visit) const {
+void HoldSimulation::visit_by_last_heard(const ServerVisitor& visit) const {
     std::vector<ServerIndex> servers(kServers);
     std::iota(servers.begin(), servers.end(), ServerIndex{0});
     std::stable_sort(servers.begin(), servers.end(),
--- a/tests/explore/hold_world.h
+++ b/tests/explore/hold_world.h
@@ -20,15 +20,15 @@
 // Returns a choice from 0 to `count` - 1.
 using Chooser = std::function<std::size_t(std::size_t count)>;
 
-class HoldWorld final : private Outside, private ReleasePool, private Clock {
+class HoldSimulation final : private DispatcherHost, private ReleasePool, private Clock {
   public:
     struct Options {
         Effect effect = Effect::pure;
-        Span budget{2500000};
+        Duration budget{2500000};
         std::size_t requests = 1;
     };
-    explicit HoldWorld(const Options& options);
-    ~HoldWorld() override;
+    explicit HoldSimulation(const Options& options);
+    ~HoldSimulation() override;
 
     // Executes one event, chosen from all that are possible now.
     void step(const Chooser& choose);
@@ -52,14 +52,14 @@
     };
     struct Attempt {
         AttemptId id = 0;
-        QueryIndex request_index = 0;
+        RequestIndex request_index = 0;
         std::string request;
         ServerIndex server = 0;
         bool prefill = false;
         Phase phase = Phase::connecting;
         Instant since, closed_at;
         bool closed = false;  // by the gateway or a reset; not seen by the server yet
-        Span close_travel_time;
+        Duration close_travel_time;
     };
     struct ReleaseCall {
         ReleaseCallId id = 0;
@@ -69,7 +69,7 @@
     };
     struct Request {
         std::string id;
-        QueryIndex request_index = 0;
+        RequestIndex request_index = 0;
         Instant arrived_at, client_left_at, deadline;
         int answers = 0;
         bool client_left = false, streaming = false;
@@ -82,26 +82,26 @@
         std::function<void()> action;
     };
 
-    // ---- Outside
+    // ---- DispatcherHost
     Instant now() const override { return now_; }
-    void wake_at(Instant at) override { wake_at_ = at; }
-    void send_read(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, Span) override;
-    void send_write(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, AttemptId, ServerIndex,
-                    Span) override;
-    void call_off(AttemptId attempt_id, ServerIndex at) override;
-    bool unsend(AttemptId attempt_id, ServerIndex at) override;
-    bool releases_are_answered() const override { return true; }
+    void schedule_wakeup(Instant at) override { wake_at_ = at; }
+    void send_prefill(AttemptId attempt_id, ServerIndex to, RequestIndex request_index, Duration) override;
+    void send_decode(AttemptId attempt_id, ServerIndex to, RequestIndex request_index, AttemptId, ServerIndex,
+                     Duration) override;
+    void cancel_attempt(AttemptId attempt_id, ServerIndex at) override;
+    bool cancel_if_unsent(AttemptId attempt_id, ServerIndex at) override;
+    bool confirms_releases() const override { return true; }
     void release(ServerIndex at, AttemptId state) override;
     void probe(ServerIndex) override {}
     void subscribe() override {}
-    void settled(QueryIndex request_index) override { request_answered(request_index, false); }
-    void declined(QueryIndex request_index, Span, std::string_view) override {
+    void completed(RequestIndex request_index) override { request_answered(request_index, false); }
+    void rejected(RequestIndex request_index, Duration, std::string_view) override {
         request_answered(request_index, true);
     }
-    void given_up(QueryIndex request_index, std::string_view) override {
+    void abandoned(RequestIndex request_index, std::string_view) override {
         request_answered(request_index, false);
     }
-    void closed(QueryIndex) override {}
+    void closed(RequestIndex) override {}
     void log(std::string_view) override {}
 
     // ---- ReleasePool
@@ -114,16 +114,16 @@
     ReleaseCallId start_release(ServerIndex server, const std::string& id) override;
     void cancel_release(ReleaseCallId call) override;
     void release_answered(const std::string&, const HoldLedger::ReleaseResult&) override {}
-    void release_given_up(const std::string&, const HoldLedger::ReleaseResult&) override {}
-    SendGuard& guard() override { return desk_->guard(); }
-    HoldLedger& ledger() override { return desk_->ledger(); }
+    void release_abandoned(const std::string&, const HoldLedger::ReleaseResult&) override {}
+    SendGuard& guard() override { return dispatcher_->guard(); }
+    HoldLedger& ledger() override { return dispatcher_->ledger(); }
 
     void report_finding(const std::string& description);
     void add_to_trace(const std::string& description);
     void send_request(const Options& options);
-    void attempt_sent(AttemptId attempt_id, ServerIndex to, QueryIndex request_index, bool prefill);
-    void request_answered(QueryIndex request_index, bool rejected);
-    Request* find_request(QueryIndex request_index);
+    void attempt_sent(AttemptId attempt_id, ServerIndex to, RequestIndex request_index, bool prefill);
+    void request_answered(RequestIndex request_index, bool is_rejection);
+    Request* find_request(RequestIndex request_index);
     Request& request_by_id(const std::string& id);
     Attempt* find(AttemptId attempt_id);
     void remove(AttemptId attempt_id);
@@ -136,7 +136,7 @@
     void answer_release(ReleaseCallId call, bool answer_arrives);
     void add_server_events(std::vector<Event>& events);
     // The server has ended it, and its answer has arrived or its connection has ended.
-    void end_attempt(AttemptId attempt_id, Ending ending, bool no_state = false);
+    void end_attempt(AttemptId attempt_id, Ending ending, bool state_missing = false);
     // The network resets its connection; the server notices later than the gateway.
     void reset(AttemptId attempt_id);
     void arrive(AttemptId attempt_id);
@@ -145,14 +145,14 @@
     void restart_hold_limit(const std::string& request);
     void server_sees_close(AttemptId attempt_id);
 
-    void advance(Span duration);
+    void advance(Duration duration);
     void poll();
     void check();
 
     Instant now_{1'000'000'000};
     Instant wake_at_{INT64_MAX}, next_poll_;
-    standin::MemoryMarkStore marks_;
-    standin::HeldStates states_{marks_};
+    fake_server::MemoryMarkerStore marks_;
+    fake_server::HeldStates states_{marks_};
     std::map<AttemptId, Attempt> attempts_;
     std::map<ReleaseCallId, ReleaseCall> release_calls_;
     ReleaseCallId next_release_call_ = 1;
@@ -163,7 +163,7 @@
     // Faults that may still occur. They are limited, as otherwise no server could be reached in time.
     std::size_t hangs_left_, losses_left_;
     const bool effectful_;
-    std::unique_ptr<Desk> desk_;
+    std::unique_ptr<Dispatcher> dispatcher_;
     std::unique_ptr<Releases> releases_;
 };
 
--- a/tests/gateway/engines_test.cpp
+++ b/tests/gateway/engines_test.cpp
@@ -9,43 +9,43 @@
 
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
-constexpr LinkBounds kServerBounds{1 << 20, 4 << 20};
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
+constexpr LineLimits kServerBounds{1 << 20, 4 << 20};
 
 // A server that answers initialize, if enabled, and passes every other message to its script.
-struct ScriptedServer : Link::Owner {
+struct ScriptedServer : LineConnection::Owner {
     Loop& loop;
     Listener listener;
     bool answers_initialize = true;
     std::function<void(ScriptedServer&, const rpc::Message&)> script;
-    std::vector<std::unique_ptr<Link>> connections;
+    std::vector<std::unique_ptr<LineConnection>> connections;
     std::vector<rpc::Message> received;
     std::size_t accepted_count = 0;
 
     explicit ScriptedServer(Loop& event_loop)
         : loop(event_loop), listener(event_loop, Address::parse("127.0.0.1:0"), [this](int fd) {
               ++accepted_count;
-              connections.push_back(Link::accepted(loop, fd, kServerBounds, *this));
+              connections.push_back(LineConnection::accepted(loop, fd, kServerBounds, *this));
           }) {}
     void send(const std::string& line) { connections.back()->send(line); }
     void reset_all() {
-        for (auto& connection : connections) Link::reset(loop, std::move(connection));
+        for (auto& connection : connections) LineConnection::reset(loop, std::move(connection));
         connections.clear();
     }
-    void line_came(Link& connection, std::string_view line) override {
+    void line_received(LineConnection& connection, std::string_view line) override {
         auto parsed = rpc::parse(line);
         const auto& m = std::get<rpc::Message>(parsed);
         if (m.method == rpc::kInitialize) {
-            if (answers_initialize) connection.send(rpc::hello_answer_line(m.id, "peer", "1"));
+            if (answers_initialize) connection.send(rpc::hello_result_line(m.id, "peer", "1"));
             return;
         }
         received.push_back(m);
         if (script) script(*this, m);
     }
-    void link_closed(Link& connection, Closing, const std::string&) override {
+    void connection_closed(LineConnection& connection, CloseReason, const std::string&) override {
         for (auto it = connections.begin(); it != connections.end(); ++it) {
             if (it->get() != &connection) continue;
-            Link::hand_off(loop, std::move(*it), false);
+            LineConnection::detach_and_close(loop, std::move(*it), false);
             connections.erase(it);
             return;
         }
@@ -86,20 +86,22 @@
         });
         poll.set(ms(0));
         loop.run();
-        watchdog.off();
+        watchdog.cancel();
     }
     void send(ServerIndex server, AttemptId attempt) {
-        rpc::Order attempt_request;
+        rpc::AttemptRequest attempt_request;
         attempt_request.query = "q" + std::to_string(attempt);
         attempt_request.state = "s";
-        servers->send(
-            server, attempt,
-            rpc::order_line(rpc::Id{static_cast<std::int64_t>(attempt)}, rpc::kRead, attempt_request), true);
+        servers->send(server, attempt,
+                      rpc::attempt_request_line(rpc::Id{static_cast<std::int64_t>(attempt)}, rpc::kPrefill,
+                                                attempt_request),
+                      true);
     }
-    void attempt_ended(AttemptId attempt, const Outcome& outcome, double, const std::string&) override {
+    void attempt_ended(AttemptId attempt, const AttemptOutcome& outcome, double,
+                       const std::string&) override {
         endings.emplace_back(attempt, outcome.ending);
     }
-    void token_came(AttemptId, std::string_view text) override { tokens.emplace_back(text); }
+    void token_received(AttemptId, std::string_view text) override { tokens.emplace_back(text); }
     void probe_ended(ServerIndex, bool, const LoadReport&) override {}
 };
 
@@ -110,12 +112,12 @@
     ScriptedServer server(test.loop);
     server.script = [](ScriptedServer& self, const rpc::Message& m) {
         self.send(rpc::tokens_line(m.id, "a"));
-        self.send(rpc::read_result_line(m.id, 7, {}));
+        self.send(rpc::prefill_result_line(m.id, 7, {}));
     };
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
     test.run([&] { return !test.endings.empty(); });
-    assert((test.endings == AttemptEndings{{1, Ending::read}}));
+    assert((test.endings == AttemptEndings{{1, Ending::prefilled}}));
     assert(test.tokens.size() == 1);
 }
 
@@ -156,7 +158,7 @@
     test.send(0, 1);
     test.send(0, 2);
     test.run([&] { return test.endings.size() == 2; });
-    assert((test.endings == AttemptEndings{{1, Ending::broken}, {2, Ending::broken}}));
+    assert((test.endings == AttemptEndings{{1, Ending::connection_lost}, {2, Ending::connection_lost}}));
 }
 
 // Guards against a server process that hangs with attempts in flight: pings go unanswered and the connection
@@ -167,7 +169,7 @@
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
     test.run([&] { return !test.endings.empty(); });
-    assert((test.endings == AttemptEndings{{1, Ending::broken}}));
+    assert((test.endings == AttemptEndings{{1, Ending::connection_lost}}));
     assert(server.received.size() >= 2 && server.received[1].method == rpc::kPing);
 }
 
@@ -177,13 +179,13 @@
     std::size_t pings = 0;
     server.script = [&](ScriptedServer& self, const rpc::Message& m) {
         if (m.method != rpc::kPing) return;
-        self.send(rpc::result(m.id, rpc::Json::object()));
-        if (++pings == 6) self.send(rpc::read_result_line(rpc::Id{std::int64_t{1}}, 0, {}));
+        self.send(rpc::result_line(m.id, rpc::Json::object()));
+        if (++pings == 6) self.send(rpc::prefill_result_line(rpc::Id{std::int64_t{1}}, 0, {}));
     };
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
     test.run([&] { return !test.endings.empty(); });
-    assert((test.endings == AttemptEndings{{1, Ending::read}}));
+    assert((test.endings == AttemptEndings{{1, Ending::prefilled}}));
 }
 
 void a_server_that_sends_invalid_messages_is_disconnected() {
@@ -197,7 +199,7 @@
         test.servers->set_address(0, server.listener.address().text());
         test.send(0, 1);
         test.run([&] { return !test.endings.empty(); });
-        assert((test.endings == AttemptEndings{{1, Ending::broken}}));
+        assert((test.endings == AttemptEndings{{1, Ending::connection_lost}}));
     }
     ConnectionsTest test;
     ScriptedServer server(test.loop);
@@ -207,7 +209,7 @@
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
     test.run([&] { return !test.endings.empty(); });
-    assert((test.endings == AttemptEndings{{1, Ending::broken}}));
+    assert((test.endings == AttemptEndings{{1, Ending::connection_lost}}));
 }
 
 void connections_are_shared_up_to_their_bound_and_closed_when_idle() {
@@ -217,7 +219,7 @@
     for (AttemptId attempt = 1; attempt <= 5; ++attempt) test.send(0, attempt);
     test.run([&] { return server.received.size() == 5; });
     assert(server.accepted_count == 3);  // two attempts on each connection
-    for (AttemptId attempt = 1; attempt <= 5; ++attempt) test.servers->call_off(0, attempt);
+    for (AttemptId attempt = 1; attempt <= 5; ++attempt) test.servers->cancel_attempt(0, attempt);
     test.run([&] { return server.received.size() == 10 && server.connections.empty(); });
     assert(server.received.back().method == rpc::kCancelled);
     assert(test.endings.empty() && test.servers->connection_count() == 0);
@@ -241,7 +243,7 @@
     ScriptedServer server(test.loop);
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
-    test.servers->call_off(0, 1);
+    test.servers->cancel_attempt(0, 1);
     test.send(0, 2);
     test.run([&] { return !server.received.empty(); });
     assert(server.received.size() == 1 && server.received[0].id == rpc::Id{std::int64_t{2}});
@@ -255,13 +257,14 @@
     test.servers->set_address(0, server.listener.address().text());
     test.send(0, 1);
     test.send(0, 2);
-    assert(test.servers->unsend(1) && !test.servers->unsend(1) && !test.servers->unsend(9));
+    assert(test.servers->cancel_if_unsent(1) && !test.servers->cancel_if_unsent(1) &&
+           !test.servers->cancel_if_unsent(9));
     test.run([&] { return !server.received.empty(); });
     assert(server.received[0].id == rpc::Id{std::int64_t{2}});
-    assert(!test.servers->unsend(2));
+    assert(!test.servers->cancel_if_unsent(2));
     server.reset_all();
     test.run([&] { return !test.endings.empty(); });
-    assert((test.endings == AttemptEndings{{2, Ending::broken}}));
+    assert((test.endings == AttemptEndings{{2, Ending::connection_lost}}));
 }
 
 // Guards against a server that stops reading: the connection is dropped once its unsent bytes exceed the
@@ -284,7 +287,7 @@
         for (int n = 0; n < 2000 && test.endings.empty(); ++n) test.send(0, next++);
         return !test.endings.empty();
     });
-    assert(test.endings[0].second == Ending::broken);
+    assert(test.endings[0].second == Ending::connection_lost);
 }
 
 }  // namespace
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -12,34 +12,34 @@
 
 struct ParseResult {
     std::string body, rest;
-    Trouble error = Trouble::none;
+    ParseError error = ParseError::none;
     bool done = false;
     Head head;
 };
 
 // Parses `bytes` in pieces of `step` bytes, the first piece of `first` bytes.
-ParseResult parse(Sort sort, const std::string& bytes, std::size_t first, std::size_t step,
+ParseResult parse(MessageKind sort, const std::string& bytes, std::size_t first, std::size_t step,
                   const Bounds& bounds = {}) {
     ParseResult out;
     Message m(sort, bounds, [&](std::string_view piece) { out.body.append(piece); });
     std::size_t at = 0, size = first;
-    while (at < bytes.size() && m.trouble() == Trouble::none && !m.done()) {
+    while (at < bytes.size() && m.error() == ParseError::none && !m.done()) {
         const std::string_view piece = std::string_view(bytes).substr(at, size);
         const std::size_t consumed = m.take(piece);
         assert(consumed <= piece.size());
         at += consumed;
-        if (m.trouble() == Trouble::none && !m.done()) assert(consumed == piece.size());
+        if (m.error() == ParseError::none && !m.done()) assert(consumed == piece.size());
         size = step;
     }
     out.rest = bytes.substr(at);
-    out.error = m.trouble();
+    out.error = m.error();
     out.done = m.done();
     out.head = m.head();
-    if (m.trouble() != Trouble::none) assert(!m.what().empty() && !m.done());
+    if (m.error() != ParseError::none) assert(!m.what().empty() && !m.done());
     return out;
 }
 
-ParseResult parse(Sort sort, const std::string& bytes, const Bounds& bounds = {}) {
+ParseResult parse(MessageKind sort, const std::string& bytes, const Bounds& bounds = {}) {
     return parse(sort, bytes, bytes.size(), bytes.size(), bounds);
 }
 
@@ -55,14 +55,14 @@
 void valid_messages_parse_the_same_however_they_are_split() {
     for (std::size_t cut = 1; cut < kRequestWithLength.size(); ++cut)
         for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kRequestWithLength.size()}) {
-            const ParseResult r = parse(Sort::call, kRequestWithLength + "NEXT", cut, step);
+            const ParseResult r = parse(MessageKind::request, kRequestWithLength + "NEXT", cut, step);
             assert(r.done && r.body == "hello" && r.head.method == "POST" && r.head.target == "/v1/x?a=b");
-            assert(*r.head.find("x-a") == "b" && r.head.keeps_open);
+            assert(*r.head.find("x-a") == "b" && r.head.keep_alive);
             assert(r.rest == "NEXT");
         }
     for (std::size_t cut = 1; cut < kChunkedResponse.size(); ++cut)
         for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kChunkedResponse.size()}) {
-            const ParseResult r = parse(Sort::answer, kChunkedResponse + "HTTP/1.1 200", cut, step);
+            const ParseResult r = parse(MessageKind::response, kChunkedResponse + "HTTP/1.1 200", cut, step);
             assert(r.done && r.body == "hello world" && r.head.status == 200 && r.head.chunked);
             assert(r.rest == "HTTP/1.1 200");
         }
@@ -72,17 +72,18 @@
 // line.
 void a_body_may_start_with_a_space() {
     for (const std::size_t cut : {std::size_t{1}, std::size_t{60}, std::size_t{1000}}) {
-        const ParseResult r = parse(Sort::call, request("Content-Length: 5\r\n", " ello"), cut, 1000);
+        const ParseResult r =
+            parse(MessageKind::request, request("Content-Length: 5\r\n", " ello"), cut, 1000);
         assert(r.done && r.body == " ello");
     }
 }
 
 void an_incomplete_message_is_not_done() {
     for (std::size_t cut = 1; cut < kRequestWithLength.size(); ++cut)
-        assert(!parse(Sort::call, kRequestWithLength.substr(0, cut)).done);
+        assert(!parse(MessageKind::request, kRequestWithLength.substr(0, cut)).done);
     for (std::size_t cut = 1; cut < kChunkedResponse.size(); ++cut) {
-        const ParseResult r = parse(Sort::answer, kChunkedResponse.substr(0, cut));
-        assert(!r.done && r.error == Trouble::none);
+        const ParseResult r = parse(MessageKind::response, kChunkedResponse.substr(0, cut));
+        assert(!r.done && r.error == ParseError::none);
     }
 }
 
@@ -130,64 +131,67 @@
     };
     for (const std::string& bytes : bad)
         for (const std::size_t step : {bytes.size(), std::size_t{1}, std::size_t{13}}) {
-            const ParseResult r = parse(Sort::call, bytes, step, step);
-            if (r.error != Trouble::bad || r.done)
+            const ParseResult r = parse(MessageKind::request, bytes, step, step);
+            if (r.error != ParseError::malformed || r.done)
                 std::fprintf(stderr, "accepted in steps of %zu: %s\n", step, bytes.c_str());
-            assert(r.error == Trouble::bad && !r.done);
+            assert(r.error == ParseError::malformed && !r.done);
         }
 }
 
 void limits_are_enforced() {
     const Bounds small{200, 10};
-    assert(parse(Sort::call, request("Content-Length: 11\r\n", ""), small).error == Trouble::body_too_long);
-    assert(parse(Sort::call, request("Content-Length: 10\r\n", "0123456789"), small).done);
+    assert(parse(MessageKind::request, request("Content-Length: 11\r\n", ""), small).error ==
+           ParseError::body_too_long);
+    assert(parse(MessageKind::request, request("Content-Length: 10\r\n", "0123456789"), small).done);
     assert(
-        parse(Sort::call, request("Transfer-Encoding: chunked\r\n", "6\r\nhello!\r\n5\r\n"), small).error ==
-        Trouble::body_too_long);
-    assert(parse(Sort::call, request("X-A: " + std::string(300, 'a') + "\r\n", ""), small).error ==
-           Trouble::head_too_long);
+        parse(MessageKind::request, request("Transfer-Encoding: chunked\r\n", "6\r\nhello!\r\n5\r\n"), small)
+            .error == ParseError::body_too_long);
+    assert(parse(MessageKind::request, request("X-A: " + std::string(300, 'a') + "\r\n", ""), small).error ==
+           ParseError::head_too_long);
     // An endless head.
     for (const std::size_t step : {std::size_t{1}, std::size_t{50}, std::size_t{5000}}) {
         const ParseResult r =
-            parse(Sort::call, "POST / HTTP/1.1\r\nX: " + std::string(5000, 'a'), step, step, small);
-        assert(r.error == Trouble::head_too_long);
+            parse(MessageKind::request, "POST / HTTP/1.1\r\nX: " + std::string(5000, 'a'), step, step, small);
+        assert(r.error == ParseError::head_too_long);
     }
     // Many short fields.
     std::string fields;
     for (int n = 0; n < 200; ++n) fields += "A: b\r\n";
-    assert(parse(Sort::call, request(fields, "")).error == Trouble::head_too_long);
+    assert(parse(MessageKind::request, request(fields, "")).error == ParseError::head_too_long);
     // Sizes that pass a limit check only if an addition overflows.
     for (const char* size : {"B2D05E00", "FFFFFFFFFFFFFFFF", "10000000000000005", "7FFFFFFFFFFFFFFF"}) {
-        const ParseResult r = parse(Sort::answer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                                                      std::string(size) + "\r\ndata");
-        assert(r.error != Trouble::none && r.body.empty());
+        const ParseResult r =
+            parse(MessageKind::response,
+                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + std::string(size) + "\r\ndata");
+        assert(r.error != ParseError::none && r.body.empty());
     }
     // Endless size lines, extensions or trailers.
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert(parse(Sort::answer, head + "5;" + std::string(9000, 'a')).error == Trouble::bad);
-    assert(parse(Sort::answer, head + std::string(9000, '0')).error == Trouble::bad);
-    assert(parse(Sort::answer, head + "0\r\nA: " + std::string(9000, 'a')).error == Trouble::bad);
+    assert(parse(MessageKind::response, head + "5;" + std::string(9000, 'a')).error == ParseError::malformed);
+    assert(parse(MessageKind::response, head + std::string(9000, '0')).error == ParseError::malformed);
+    assert(parse(MessageKind::response, head + "0\r\nA: " + std::string(9000, 'a')).error ==
+           ParseError::malformed);
     // An invalid size is reported before its line is complete, as the rest may never arrive.
-    assert(parse(Sort::answer, head + "5\r\nhello\r\nZ").error == Trouble::bad);
+    assert(parse(MessageKind::response, head + "5\r\nhello\r\nZ").error == ParseError::malformed);
 }
 
 void responses_end_as_the_standard_requires() {
-    assert(parse(Sort::answer, "HTTP/1.1 204 No Content\r\n\r\nX").rest == "X");
-    assert(parse(Sort::answer, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n").rest ==
+    assert(parse(MessageKind::response, "HTTP/1.1 204 No Content\r\n\r\nX").rest == "X");
+    assert(parse(MessageKind::response, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n").rest ==
            "HTTP/1.1 200 OK\r\n");
-    Message m(Sort::answer, {}, nullptr);
+    Message m(MessageKind::response, {}, nullptr);
     m.take("HTTP/1.1 500 Oops\r\n\r\nwhat went wrong");
-    assert(!m.done() && !m.head().keeps_open);
-    assert(m.ended());
-    Message cut(Sort::answer, {}, nullptr);
+    assert(!m.done() && !m.head().keep_alive);
+    assert(m.end_of_input());
+    Message cut(MessageKind::response, {}, nullptr);
     cut.take("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello");
-    assert(!cut.ended());
+    assert(!cut.end_of_input());
     const ParseResult closes =
-        parse(Sort::answer, "HTTP/1.1 202 A\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    assert(closes.done && !closes.head.keeps_open);
+        parse(MessageKind::response, "HTTP/1.1 202 A\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    assert(closes.done && !closes.head.keep_alive);
     for (const char* noise :
          {"HTTP/1.1 2000 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", "ICY 200 OK\r\n\r\n", "%$#\r\n\r\n"})
-        assert(parse(Sort::answer, noise).error == Trouble::bad);
+        assert(parse(MessageKind::response, noise).error == ParseError::malformed);
 }
 
 }  // namespace
--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
 constexpr Instant kStart{1'000'000'000'000};
 
 Admission admission_with(const RouteLimits& l, int gateways = 1) {
@@ -31,12 +31,12 @@
     l.burst = 5;
     Admission a = admission_with(l);
     int admitted = 0;
-    for (int n = 0; n < 20; ++n) admitted += a.query_came(0, 1, false, kStart).why == Refusal::none;
+    for (int n = 0; n < 20; ++n) admitted += a.request_arrived(0, 1, false, kStart).why == RejectReason::none;
     assert(admitted == 5);
-    const AdmissionDecision decision = a.query_came(0, 1, false, kStart);
-    assert(decision.why == Refusal::rate && decision.retry_after == ms(100));
-    assert(a.query_came(0, 1, false, kStart + ms(100)).why == Refusal::none);
-    assert(a.query_came(0, 1, false, kStart + ms(101)).why == Refusal::rate);
+    const AdmissionDecision decision = a.request_arrived(0, 1, false, kStart);
+    assert(decision.why == RejectReason::rate && decision.retry_after == ms(100));
+    assert(a.request_arrived(0, 1, false, kStart + ms(100)).why == RejectReason::none);
+    assert(a.request_arrived(0, 1, false, kStart + ms(101)).why == RejectReason::rate);
 }
 
 // Guards against a free burst after a reload.
@@ -46,38 +46,38 @@
     l.burst = 5;
     l.retry_share = 0.1;
     Admission a = admission_with(l);
-    for (int n = 0; n < 5; ++n) a.query_came(0, 1, false, kStart);
+    for (int n = 0; n < 5; ++n) a.request_arrived(0, 1, false, kStart);
     for (int n = 0; n < 20; ++n) a.first_attempt_started(0, kStart);
     assert(a.may_attempt_again(0, kStart) && a.may_attempt_again(0, kStart) &&
            !a.may_attempt_again(0, kStart));
     for (int n = 0; n < 100; ++n) {
         a.change({{l}}, 1, kStart);
-        assert(a.query_came(0, 1, false, kStart).why == Refusal::rate);
+        assert(a.request_arrived(0, 1, false, kStart).why == RejectReason::rate);
         assert(!a.may_attempt_again(0, kStart));
     }
     l.burst = 50;
     a.change({{l}}, 1, kStart);
-    assert(a.query_came(0, 1, false, kStart).why == Refusal::rate);
+    assert(a.request_arrived(0, 1, false, kStart).why == RejectReason::rate);
 }
 
 // A lowered limit takes effect without ending running requests; a removed route drains.
 void lowered_limit_ends_no_running_request() {
     RouteLimits l;
-    l.in_hand = 10;
+    l.in_flight = 10;
     Admission a = admission_with(l);
-    for (int n = 0; n < 10; ++n) a.query_came(0, 5, false, kStart);
-    l.in_hand = 3;
+    for (int n = 0; n < 10; ++n) a.request_arrived(0, 5, false, kStart);
+    l.in_flight = 3;
     a.change({{l}}, 1, kStart);
-    assert(a.counts(0).in_hand == 10);
+    assert(a.counts(0).in_flight == 10);
     for (int n = 0; n < 7; ++n) {
-        assert(a.query_came(0, 5, false, kStart).why == Refusal::in_hand);
-        a.query_over(0, 5, true, kStart);
+        assert(a.request_arrived(0, 5, false, kStart).why == RejectReason::in_flight);
+        a.request_ended(0, 5, true, kStart);
     }
-    a.query_over(0, 5, true, kStart);
-    assert(a.query_came(0, 5, false, kStart).why == Refusal::none);
+    a.request_ended(0, 5, true, kStart);
+    assert(a.request_arrived(0, 5, false, kStart).why == RejectReason::none);
     a.change({}, 1, kStart);
-    assert(a.query_came(0, 5, false, kStart).why == Refusal::closed);
-    assert(a.counts(0).in_hand == 3);
+    assert(a.request_arrived(0, 5, false, kStart).why == RejectReason::closed);
+    assert(a.counts(0).in_flight == 3);
 }
 
 // Guards against retries that multiply the load when the whole fleet fails.
@@ -105,14 +105,14 @@
     l.retry_floor = 1;
     l.retry_window = ms(10000);
     Admission a = admission_with(l);
-    for (int n = 0; n < 100; ++n) a.query_came(0, 1, false, kStart);
+    for (int n = 0; n < 100; ++n) a.request_arrived(0, 1, false, kStart);
     const Instant later = kStart + ms(1000LL * 86400 * 300);
     int admitted = 0, retries = 0;
-    for (int n = 0; n < 100; ++n) admitted += a.query_came(0, 1, false, later).why == Refusal::none;
+    for (int n = 0; n < 100; ++n) admitted += a.request_arrived(0, 1, false, later).why == RejectReason::none;
     for (int n = 0; n < 100; ++n) retries += a.may_attempt_again(0, later);
     assert(admitted == 5 && retries == 10);
     // A clock that goes back grants nothing.
-    assert(a.query_came(0, 1, false, kStart).why == Refusal::rate);
+    assert(a.request_arrived(0, 1, false, kStart).why == RejectReason::rate);
 }
 
 void prompt_tokens_and_answer_tokens_are_limited() {
@@ -120,16 +120,16 @@
     l.prompt_tokens = 1000;
     Admission a = admission_with(l);
     // Alone, as it could never be admitted otherwise.
-    assert(a.query_came(0, 5000, false, kStart).why == Refusal::none);
-    assert(a.query_came(0, 1, false, kStart).why == Refusal::prompt_tokens);
+    assert(a.request_arrived(0, 5000, false, kStart).why == RejectReason::none);
+    assert(a.request_arrived(0, 1, false, kStart).why == RejectReason::prompt_tokens);
     RouteLimits m;
     m.answer_rate = 100;
     Admission b = admission_with(m);
-    assert(b.query_came(0, 1, false, kStart).why == Refusal::none);
-    b.tokens_came(0, 500, kStart);
-    assert(b.query_came(0, 1, false, kStart).why == Refusal::answer_rate);
-    assert(b.query_came(0, 1, false, kStart + ms(2900)).why == Refusal::answer_rate);
-    assert(b.query_came(0, 1, false, kStart + ms(3100)).why == Refusal::none);
+    assert(b.request_arrived(0, 1, false, kStart).why == RejectReason::none);
+    b.tokens_received(0, 500, kStart);
+    assert(b.request_arrived(0, 1, false, kStart).why == RejectReason::answer_rate);
+    assert(b.request_arrived(0, 1, false, kStart + ms(2900)).why == RejectReason::answer_rate);
+    assert(b.request_arrived(0, 1, false, kStart + ms(3100)).why == RejectReason::none);
 }
 
 // A limit stated for the fleet: all gateways together never admit more than the limit, however the load is
@@ -147,7 +147,7 @@
             // Most of the load goes to the first gateways.
             const double u = std::uniform_real_distribution<double>(0, 1)(rng);
             const auto g = static_cast<std::size_t>(u * u * gateways);
-            admitted += fleet[g].query_came(0, 1, false, kStart + ms(t)).why == Refusal::none;
+            admitted += fleet[g].request_arrived(0, 1, false, kStart + ms(t)).why == RejectReason::none;
         }
         assert(admitted <= 120 * 20 + 60 + gateways);
     }
@@ -165,7 +165,7 @@
         int admitted = 0;
         for (int t = from_ms; t < to_ms; ++t)
             for (Admission& a : fleet)
-                admitted += a.query_came(0, 1, false, kStart + ms(t)).why == Refusal::none;
+                admitted += a.request_arrived(0, 1, false, kStart + ms(t)).why == RejectReason::none;
         return admitted;
     };
     admitted_in(0, 1000);  // the first burst
@@ -204,18 +204,18 @@
 void overload_of_one_route_does_not_affect_others() {
     Admission a(1, kStart);
     RouteLimits few;
-    few.in_hand = 5;
+    few.in_flight = 5;
     a.change(std::vector<RouteLimits>{few, RouteLimits{}}, 1, kStart);
-    for (int n = 0; n < 1000; ++n) a.query_came(0, 1, false, kStart);
-    assert(a.counts(0).in_hand == 5);
-    assert(a.query_came(1, 1, false, kStart).why == Refusal::none);
+    for (int n = 0; n < 1000; ++n) a.request_arrived(0, 1, false, kStart);
+    assert(a.counts(0).in_flight == 5);
+    assert(a.request_arrived(1, 1, false, kStart).why == RejectReason::none);
 }
 
-slot_fleet::Seen run_fleet(double load, double slow_from_s = 1e9, double slow_until_s = 0) {
+simulated_fleet::Result run_fleet(double load, double slow_from_s = 1e9, double slow_until_s = 0) {
     RouteLimits l;
-    l.adapts = true;
-    return slot_fleet::play(l,
-                            {.of_capacity = load, .slow_from_s = slow_from_s, .slow_until_s = slow_until_s});
+    l.adaptive = true;
+    return simulated_fleet::simulate(
+        l, {.load_factor = load, .slow_from_s = slow_from_s, .slow_until_s = slow_until_s});
 }
 
 // Guards against congestion: at three times the capacity of the fleet, first tokens stay close to the
@@ -227,11 +227,12 @@
         stderr,
         "adaptive: at 0.5 x limit %.0f first %.0f ms, %.0f/s; at 3 x limit %.0f first %.0f ms, %.0f/s; "
         "after a slow spell limit %.0f first %.0f ms, %.0f/s\n",
-        half_load.limit, half_load.first_ms, half_load.settled, overload.limit, overload.first_ms,
-        overload.settled, recovered.limit, recovered.first_ms, recovered.settled);
-    assert(half_load.settled > 0.99 * half_load.came && half_load.first_ms < 110);
-    assert(overload.settled > 0.95 * 400 && overload.first_ms < 250);
-    assert(recovered.settled > 0.95 * recovered.came);
+        half_load.mean_limit, half_load.mean_first_token_ms, half_load.completed_per_s, overload.mean_limit,
+        overload.mean_first_token_ms, overload.completed_per_s, recovered.mean_limit,
+        recovered.mean_first_token_ms, recovered.completed_per_s);
+    assert(half_load.completed_per_s > 0.99 * half_load.arrived_per_s && half_load.mean_first_token_ms < 110);
+    assert(overload.completed_per_s > 0.95 * 400 && overload.mean_first_token_ms < 250);
+    assert(recovered.completed_per_s > 0.95 * recovered.arrived_per_s);
 }
 
 // Guards against a fleet that returns nothing: there are no first tokens, so losses alone must lower the
@@ -305,19 +306,19 @@
     const auto admitted_in = [&](int from_ms, int to_ms) {
         int admitted = 0;
         for (int t = from_ms; t < to_ms; ++t)
-            admitted += a.query_came(0, 1, false, kStart + ms(t)).why == Refusal::none;
+            admitted += a.request_arrived(0, 1, false, kStart + ms(t)).why == RejectReason::none;
         return admitted;
     };
     admitted_in(0, 1000);
-    a.part_is(0.5);
+    a.set_share(0.5);
     const int after_increase = admitted_in(1000, 3000);
     assert(after_increase >= 98 && after_increase <= 100);
-    a.part_is(0);
+    a.set_share(0);
     const int after_reset = admitted_in(3000, 5000);
     assert(after_reset >= 19 && after_reset <= 30);
     int jittered = 0;
     for (int n = 0; n < 100; ++n) {
-        a.part_is(n % 2 ? 0.2 : 0.1);
+        a.set_share(n % 2 ? 0.2 : 0.1);
         jittered += admitted_in(5000 + n * 20, 5020 + n * 20);
     }
     assert(jittered <= 45);
@@ -327,7 +328,7 @@
 void counts_stay_consistent() {
     assert(rc::check("random events", [] {
         RouteLimits l;
-        l.in_hand = *rc::gen::inRange(1, 20);
+        l.in_flight = *rc::gen::inRange(1, 20);
         l.rate = *rc::gen::inRange(1, 100);
         l.retry_share = 0.1;
         Admission a = admission_with(l, *rc::gen::inRange(1, 5));
@@ -337,15 +338,15 @@
         for (int n = 0; n < steps; ++n) {
             now = now + ms(*rc::gen::inRange(0, 500));
             const int event = *rc::gen::inRange(0, 4);
-            if (event == 0) open += a.query_came(0, 10, false, now).why == Refusal::none;
+            if (event == 0) open += a.request_arrived(0, 10, false, now).why == RejectReason::none;
             if (event == 1 && open > 0) {
-                a.query_over(0, 10, true, now);
+                a.request_ended(0, 10, true, now);
                 --open;
             }
             if (event == 2) a.first_attempt_started(0, now);
             if (event == 3) a.may_attempt_again(0, now);
-            RC_ASSERT(a.counts(0).in_hand == open && a.counts(0).prompt_tokens == 10 * open);
-            RC_ASSERT(open <= l.in_hand);
+            RC_ASSERT(a.counts(0).in_flight == open && a.counts(0).prompt_tokens == 10 * open);
+            RC_ASSERT(open <= l.in_flight);
         }
     }));
 }
--- a/tests/logging/log_test.cpp
+++ b/tests/logging/log_test.cpp
@@ -62,7 +62,7 @@
 // Returns whether the lines are written or dropped without blocking. A blocked writer is released by reading.
 bool writes_without_blocking(PipedStandardError& pipe, Log& log, int lines, std::size_t bytes) {
     auto writing = std::async(std::launch::async, [&] {
-        for (int n = 0; n < lines; ++n) log.say(Weight::info, "test", std::string(bytes, 'x'));
+        for (int n = 0; n < lines; ++n) log.log(Severity::info, "test", std::string(bytes, 'x'));
     });
     bool blocked = false;
     while (writing.wait_for(blocked ? std::chrono::milliseconds(10) : kTimeout) !=
@@ -92,7 +92,7 @@
         ASSERT_TRUE(writes_without_blocking(pipe, log, kLines, bytes));
         const std::size_t written = complete_lines(pipe.read_all()).size();
         EXPECT_GT(written, 0u);
-        log.say(Weight::info, "test", "it is read again");
+        log.log(Severity::info, "test", "it is read again");
         const std::vector<nlohmann::json> lines = complete_lines(pipe.read_all());
         ASSERT_EQ(lines.size(), 2u);
         EXPECT_EQ(lines[0]["what"], "log lines could not be written");
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -11,9 +11,9 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kWork{20000};
+constexpr Duration kWork{20000};
 
-Span thread_cpu() {
+Duration thread_cpu() {
     timespec at{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at);
     return {std::int64_t{at.tv_sec} * 1000000 + at.tv_nsec / 1000};
@@ -29,7 +29,7 @@
     }
     {
         const Loop::Event event(loop, "work");
-        const Span until = thread_cpu() + kWork;
+        const Duration until = thread_cpu() + kWork;
         while (thread_cpu() < until) {
         }
     }
@@ -48,7 +48,7 @@
     {
         const Loop::Event outer(loop, "outer");
         const Loop::Event inner(loop, "inner");
-        const Span until = thread_cpu() + kWork;
+        const Duration until = thread_cpu() + kWork;
         while (thread_cpu() < until) {
         }
     }
--- a/tests/net/watch_failure_test.cpp
+++ b/tests/net/watch_failure_test.cpp
@@ -30,7 +30,7 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kTimeout{2000000};
+constexpr Duration kTimeout{2000000};
 
 // Accepts a connection whose first registrations fail, and stops the loop at its first bytes.
 struct Receiver : Stream::Owner {
@@ -46,13 +46,13 @@
                                                   stream = Stream::accepted(loop, fd, {0, 0}, *this);
                                               });
     }
-    ~Receiver() override { Stream::hand_off(loop, std::move(stream), false); }
-    void bytes_came(Stream& from) override {
+    ~Receiver() override { Stream::detach_and_close(loop, std::move(stream), false); }
+    void bytes_received(Stream& from) override {
         received.append(from.front());
-        from.drain(from.held());
+        from.drain(from.buffered());
         loop.stop();
     }
-    void stream_closed(Stream&, Closing, const std::string&) override { loop.stop(); }
+    void stream_closed(Stream&, CloseReason, const std::string&) override { loop.stop(); }
     void run_until_received() {
         Timer timeout(loop, [this] { loop.stop(); });
         timeout.set(kTimeout);
@@ -65,7 +65,7 @@
     for (const int failures : {1, 3}) {
         Receiver receiver(failures);
         RawClient peer(receiver.listener->address());
-        peer.say("hello");
+        peer.send("hello");
         receiver.run_until_received();
         EXPECT_EQ(receiver.received, "hello") << failures;
         EXPECT_EQ(registrations_to_fail, 0);
@@ -77,7 +77,7 @@
     registrations_to_fail = 2;
     Receiver receiver(0);
     RawClient peer(receiver.listener->address());
-    peer.say("hello");
+    peer.send("hello");
     receiver.run_until_received();
     EXPECT_EQ(receiver.received, "hello");
 }
--- a/tests/node/departed_client_test.cpp
+++ b/tests/node/departed_client_test.cpp
@@ -12,7 +12,7 @@
     static void close_connection(RawClient& client) {
         switch (GetParam()) {
             case ClientClose::by_close:
-                return client.leave();
+                return client.disconnect();
             case ClientClose::by_reset:
                 return client.reset();
             case ClientClose::by_half_close:
@@ -25,14 +25,16 @@
 // arrives at the same moment as the close.
 TEST_P(DisconnectedClient, QueuedRequestIsNotSent) {
     ScriptedGatewayFixture fixture;
-    fixture.platform.set("r1", "draining");
+    fixture.platform.set_status("r1", "draining");
     fixture.wait_for_list();
     RawClient client(fixture.node->address());
-    client.say(fixture.request_text(fixture.new_request_id()));
-    fixture.wait_until("the request is queued", [&] { return fixture.node->desk().open_queries() == 1; });
+    client.send(fixture.request_text(fixture.new_request_id()));
+    fixture.wait_until("the request is queued",
+                       [&] { return fixture.node->dispatcher().open_requests() == 1; });
     close_connection(client);
-    fixture.platform.set("r1", "up");
-    fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+    fixture.platform.set_status("r1", "up");
+    fixture.wait_until("the request has ended",
+                       [&] { return fixture.node->dispatcher().open_requests() == 0; });
     fixture.run_for(ms(50));
     EXPECT_EQ(fixture.prefill.count("POST"), 0u);
 }
@@ -42,15 +44,16 @@
     ScriptedGatewayFixture fixture(
         with_setting(kSettings, R"("connect-timeout-ms":250)", R"("connect-timeout-ms":5000)"));
     StalledListener stalled;
-    fixture.platform.point("r1", stalled.address());
+    fixture.platform.set_address("r1", stalled.address());
     fixture.wait_for_list();
     RawClient client(fixture.node->address());
-    client.say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client.send(fixture.request_text(fixture.new_request_id(), "4000"));
     fixture.wait_until("the attempt waits for its connection",
                        [&] { return fixture.node->upstreams().attempts() == 1; });
     close_connection(client);
     stalled.accept_all();
-    fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+    fixture.wait_until("the request has ended",
+                       [&] { return fixture.node->dispatcher().open_requests() == 0; });
     fixture.run_for(ms(1300));
     EXPECT_EQ(stalled.received().find("POST "), std::string::npos);
 }
@@ -59,7 +62,7 @@
 TEST_P(DisconnectedClient, StateIsReleasedRatherThanHandedOver) {
     ScriptedGatewayFixture fixture;
     RawClient client(fixture.node->address());
-    client.say(fixture.request_text(fixture.new_request_id()));
+    client.send(fixture.request_text(fixture.new_request_id()));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     close_connection(client);
     fixture.prefill.send(prefill_connection, prefill_response());
@@ -78,11 +81,11 @@
     RawClient client(fixture.node->address());
     std::string text;
     for (int n = 0; n < 100; ++n) text += fixture.request_text(fixture.new_request_id());
-    client.say(text);
+    client.send(text);
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     close_connection(client);
     fixture.wait_until(
-        "the request has ended", [&] { return fixture.node->desk().open_queries() == 0; }, ms(100));
+        "the request has ended", [&] { return fixture.node->dispatcher().open_requests() == 0; }, ms(100));
     fixture.run_for(ms(20));
     if (fixture.prefill.is_open(prefill_connection))
         fixture.prefill.send(prefill_connection, prefill_response());
@@ -97,9 +100,9 @@
     for (const bool retry : {false, true}) {
         ScriptedGatewayFixture fixture;
         RawClient client(fixture.node->address());
-        client.say(fixture.request_text(fixture.new_request_id()));
+        client.send(fixture.request_text(fixture.new_request_id()));
         const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
-        client.say(fixture.request_text(fixture.new_request_id()));
+        client.send(fixture.request_text(fixture.new_request_id()));
         close_connection(client);
         if (retry) {
             fixture.prefill.reset(prefill_connection);
@@ -107,7 +110,8 @@
             fixture.prefill.send(prefill_connection, prefill_response());
         }
         for (const Instant from = fixture.loop.now(); fixture.loop.now() - from < ms(150);) continue;
-        fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+        fixture.wait_until("the request has ended",
+                           [&] { return fixture.node->dispatcher().open_requests() == 0; });
         fixture.run_for(ms(100));
         EXPECT_EQ(fixture.decode.count("POST"), 0u);
         EXPECT_EQ(fixture.prefill.count("POST"), 1u);
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -6,7 +6,7 @@
 #include "raw_client.h"
 
 using namespace copperfront;
-using standin::Fault;
+using fake_server::Fault;
 
 namespace {
 
@@ -17,22 +17,22 @@
     for (const std::int64_t outage : {1500, 2300, 3100}) {
         GatewayFixture fixture;
         fixture.run_for(ms(30));
-        fixture.platform.discovery_is_silent(true);
+        fixture.platform.set_discovery_silent(true);
         fixture.run_for(ms(outage));
-        fixture.platform.add("w9", Role::writer, "z", 1);
-        fixture.platform.discovery_is_silent(false);
+        fixture.platform.add("w9", Role::decode, "z", 1);
+        fixture.platform.set_discovery_silent(false);
         fixture.wait_until(
-            "the new server is in the list", [&] { return fixture.node->knows("w9"); }, ms(250));
+            "the new server is in the list", [&] { return fixture.node->has_server("w9"); }, ms(250));
     }
 }
 
 void silent_watch_is_reopened() {
     GatewayFixture fixture;
     fixture.run_for(ms(30));
-    fixture.platform.watches_fall_silent();
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.platform.silence_watches();
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.wait_until(
-        "the new server is in the list", [&] { return fixture.node->knows("w9"); }, ms(2000));
+        "the new server is in the list", [&] { return fixture.node->has_server("w9"); }, ms(2000));
     assert(fixture.run_request()->is_complete());
 }
 
@@ -40,11 +40,11 @@
 void list_of_slow_discovery_is_applied() {
     GatewayFixture fixture;
     fixture.run_for(ms(30));
-    fixture.platform.whole_lists_take(ms(900));
-    fixture.platform.watches_are_reset();
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.platform.set_snapshot_delay(ms(900));
+    fixture.platform.reset_watches();
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.wait_until(
-        "the new server is in the list", [&] { return fixture.node->knows("w9"); }, ms(2500));
+        "the new server is in the list", [&] { return fixture.node->has_server("w9"); }, ms(2500));
 }
 
 void reset_watch_is_reopened_at_once() {
@@ -52,40 +52,40 @@
     fixture.run_for(ms(30));
     for (int n = 0; n < 3; ++n) {
         const std::string name = "w1" + std::to_string(n);
-        fixture.platform.watches_are_reset();
-        fixture.platform.add(name, Role::writer, "z", 1);
+        fixture.platform.reset_watches();
+        fixture.platform.add(name, Role::decode, "z", 1);
         fixture.wait_until(
-            "the new server is in the list", [&] { return fixture.node->knows(name); }, ms(250));
+            "the new server is in the list", [&] { return fixture.node->has_server(name); }, ms(250));
     }
 }
 
 void refusing_discovery_is_followed_once_it_is_back() {
     GatewayFixture fixture;
     fixture.run_for(ms(30));
-    fixture.platform.discovery_is_down(true);
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.platform.set_discovery_down(true);
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.run_for(ms(1700));
-    assert(!fixture.node->knows("w9") && fixture.run_request()->is_complete());
-    fixture.platform.discovery_is_down(false);
+    assert(!fixture.node->has_server("w9") && fixture.run_request()->is_complete());
+    fixture.platform.set_discovery_down(false);
     fixture.wait_until(
-        "the new server is in the list", [&] { return fixture.node->knows("w9"); }, ms(250));
+        "the new server is in the list", [&] { return fixture.node->has_server("w9"); }, ms(250));
 }
 
 void gateway_started_without_discovery_serves_from_the_known_list() {
     GatewayFixture fixture;
     for (const bool refuses : {false, true}) {
-        refuses ? fixture.platform.discovery_is_down(true) : fixture.platform.discovery_is_silent(true);
+        refuses ? fixture.platform.set_discovery_down(true) : fixture.platform.set_discovery_silent(true);
         fixture.start(256);
         auto client = fixture.client();
-        client->say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+        client->send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         fixture.wait_until(
             "ready", [&] { return client->status() == 200; }, ms(200));
         assert(fixture.run_request()->is_complete());
-        refuses ? fixture.platform.discovery_is_down(false) : fixture.platform.discovery_is_silent(false);
+        refuses ? fixture.platform.set_discovery_down(false) : fixture.platform.set_discovery_silent(false);
         const std::string name = refuses ? "w8" : "w9";
-        fixture.platform.add(name, Role::writer, "z", 1);
+        fixture.platform.add(name, Role::decode, "z", 1);
         fixture.wait_until(
-            "the list is followed", [&] { return fixture.node->knows(name); }, ms(250));
+            "the list is followed", [&] { return fixture.node->has_server(name); }, ms(250));
     }
 }
 
@@ -99,15 +99,15 @@
     for (int n = 0; n < 100; ++n) {
         idle_clients.push_back(fixture.client());
         // Some send a bad request, get an answer with a close, and stay connected.
-        if (n % 3 == 0) idle_clients.back()->say("nonsense\r\n\r\n");
+        if (n % 3 == 0) idle_clients.back()->send("nonsense\r\n\r\n");
         fixture.run_for(ms(5));
         max_open = std::max(max_open, fixture.node->clients().size() + fixture.loop.adopted());
     }
     assert(max_open > 10 && max_open <= 64 / 2);
-    fixture.platform.watches_are_reset();
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.platform.reset_watches();
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.wait_until(
-        "the new server is in the list", [&] { return fixture.node->knows("w9"); }, ms(250));
+        "the new server is in the list", [&] { return fixture.node->has_server("w9"); }, ms(250));
     assert(fixture.run_request()->is_complete());
 }
 
@@ -119,30 +119,32 @@
     for (const bool more : {false, true}) {
         {
             RawClient client(fixture.node->address());
-            client.say(fixture.request_text(fixture.new_request_id()) +
-                       (more ? fixture.request_text(fixture.new_request_id()) : ""));
+            client.send(fixture.request_text(fixture.new_request_id()) +
+                        (more ? fixture.request_text(fixture.new_request_id()) : ""));
         }
         fixture.run_for(ms(100));
     }
-    assert(fixture.platform.heard().empty() && fixture.node->desk().tally().left == 2);
+    assert(fixture.platform.received().empty() && fixture.node->dispatcher().counters().client_left == 2);
     fixture.wait_until_idle();
 }
 
 void disconnect_behind_many_sent_requests_is_noticed() {
-    standin::Platform::Shape slow;
-    slow.read = ms(600);
+    fake_server::FakePlatform::ServiceTimes slow;
+    slow.prefill_time = ms(600);
     GatewayFixture fixture(256, slow);
     for (int round = 0; round < 2; ++round) {
         auto client = fixture.client();
         std::string text;
         for (int n = 0; n < (round == 0 ? 200 : 3000); ++n)
             text += fixture.request_text(fixture.new_request_id());  // 70 KB, and 1 MB
-        client->say(text);
-        fixture.wait_until("the request is open", [&] { return fixture.node->desk().open_queries() == 1; });
+        client->send(text);
+        fixture.wait_until("the request is open",
+                           [&] { return fixture.node->dispatcher().open_requests() == 1; });
         fixture.run_for(ms(150));
-        client->leave();
+        client->disconnect();
         fixture.wait_until(
-            "the disconnect is noticed", [&] { return fixture.node->desk().open_queries() == 0; }, ms(100));
+            "the disconnect is noticed", [&] { return fixture.node->dispatcher().open_requests() == 0; },
+            ms(100));
     }
     assert(fixture.platform.count("POST", "w1") == 0);
     fixture.wait_until_idle();
@@ -154,13 +156,13 @@
     std::string settings = kSettings;
     const std::string quota = R"("quota-per-s":500)";
     settings.replace(settings.find(quota), quota.size(), R"("quota-per-s":1)");
-    standin::Platform::Shape slow;
-    slow.first = ms(800);
+    fake_server::FakePlatform::ServiceTimes slow;
+    slow.first_event_delay = ms(800);
     GatewayFixture fixture(256, slow, settings);
     std::vector<std::unique_ptr<Client>> all;
     for (int n = 0; n < 24; ++n) {
         all.push_back(fixture.client());
-        all.back()->say(fixture.request_text(fixture.new_request_id()));
+        all.back()->send(fixture.request_text(fixture.new_request_id()));
     }
     fixture.wait_until("all requests are answered", [&] {
         return std::all_of(all.begin(), all.end(), [](const auto& client) {
@@ -185,20 +187,22 @@
 void attempt_waiting_for_an_ended_process_is_not_sent_there() {
     GatewayFixture fixture;
     const StalledListener stalled;
-    fixture.platform.point("r1", stalled.address());
+    fixture.platform.set_address("r1", stalled.address());
     fixture.run_for(ms(30));
     auto client = fixture.client();
-    client->say(fixture.request_text("q"));
+    client->send(fixture.request_text("q"));
     fixture.wait_until("the attempt waits for its connection",
                        [&] { return fixture.node->upstreams().attempts() == 1; });
     // The server gets another address: the waiting attempt ends as never sent, long before the connect
     // timeout.
-    fixture.platform.add("r1", Role::reader, "z", 1);
+    fixture.platform.add("r1", Role::prefill, "z", 1);
     fixture.wait_until(
         "the attempt has ended as unreachable",
         [&] {
-            return fixture.node->desk().tally().endings[static_cast<std::size_t>(Ending::unreachable)] == 1 &&
-                   fixture.node->desk().tally().not_connected == 0;
+            return fixture.node->dispatcher()
+                           .counters()
+                           .endings[static_cast<std::size_t>(Ending::unreachable)] == 1 &&
+                   fixture.node->dispatcher().counters().connect_timeouts == 0;
         },
         ms(150));
     fixture.wait_until("an answer",
@@ -209,31 +213,31 @@
 void time_left_is_computed_when_the_attempt_is_written() {
     Loop loop;
     struct IgnoringPoolOwner : UpstreamPool::Owner {
-        void attempt_over(AttemptId, const Outcome&, const std::string&) override {}
-        void events_came(AttemptId, std::string_view, std::size_t) override {}
-        SendGuard send_guard{Span{1000000}};
-        Denial may_write(AttemptId, Span) override { return Denial::none; }
-        HoldLedger hold_ledger{Span{1000000}};
+        void attempt_ended(AttemptId, const AttemptOutcome&, const std::string&) override {}
+        void events_received(AttemptId, std::string_view, std::size_t) override {}
+        SendGuard send_guard{Duration{1000000}};
+        Denial may_write(AttemptId, Duration) override { return Denial::none; }
+        HoldLedger hold_ledger{Duration{1000000}};
         void answer_began(AttemptId) override {}
         void release_answered(const std::string&, const HoldLedger::ReleaseResult&) override {}
-        void release_given_up(const std::string&, const HoldLedger::ReleaseResult&) override {}
+        void release_abandoned(const std::string&, const HoldLedger::ReleaseResult&) override {}
         SendGuard& guard() override { return send_guard; }
         HoldLedger& ledger() override { return hold_ledger; }
     } owner;
     struct RecordingPeer : Stream::Owner {
         std::string received;
         std::unique_ptr<Stream> stream;
-        void bytes_came(Stream& s) override {
-            received.append(s.pull(s.held()));
-            s.drain(s.held());
+        void bytes_received(Stream& s) override {
+            received.append(s.contiguous(s.buffered()));
+            s.drain(s.buffered());
         }
-        void stream_closed(Stream&, Closing, const std::string&) override {}
+        void stream_closed(Stream&, CloseReason, const std::string&) override {}
     } receiver;
     UpstreamPool servers(loop, {}, owner);
     Listener listener(loop, Address::parse("127.0.0.1:0"), [&](int fd) {
         receiver.stream = Stream::accepted(loop, fd, {0, 0}, receiver);
     });
-    servers.learn(0, {listener.address(), listener.address().text(), {}});
+    servers.set_endpoint(0, {listener.address(), listener.address().text(), {}});
     servers.send(0, 1,
                  {"POST / HTTP/1.1\r\nX-Time-Left-Ms: ", "\r\nContent-Length: 0\r\n\r\n",
                   loop.now() + ms(1000), true});
@@ -252,22 +256,24 @@
 // ---- shutdown
 
 void pipelined_requests_are_served_at_a_stop() {
-    standin::Platform::Shape slow;
-    slow.read = ms(100);
+    fake_server::FakePlatform::ServiceTimes slow;
+    slow.prefill_time = ms(100);
     GatewayFixture fixture(256, slow);
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id()) +
-                fixture.request_text(fixture.new_request_id()) +
-                fixture.request_text(fixture.new_request_id()));
-    fixture.wait_until("the first request is open", [&] { return fixture.node->desk().open_queries() == 1; });
+    client->send(fixture.request_text(fixture.new_request_id()) +
+                 fixture.request_text(fixture.new_request_id()) +
+                 fixture.request_text(fixture.new_request_id()));
+    fixture.wait_until("the first request is open",
+                       [&] { return fixture.node->dispatcher().open_requests() == 1; });
     fixture.node->stop();
     fixture.wait_until("the connection is closed", [&] { return client->closed; });
     std::size_t completed = 0;
     for (std::size_t at = 0; (at = client->received.find("data: [DONE]", at)) != std::string::npos; ++at)
         ++completed;
-    assert(client->response_count() == 3 && completed == 3 && client->close_reason == Closing::peer_ended);
+    assert(client->response_count() == 3 && completed == 3 &&
+           client->close_reason == CloseReason::peer_closed);
     fixture.loop.run();
-    assert(fixture.platform.states() == 0);
+    assert(fixture.platform.held_state_count() == 0);
 }
 
 // A request that arrives with the close of an idle connection is not read, and its client sees a graceful
@@ -275,23 +281,23 @@
 void idle_connection_is_closed_gracefully_at_a_stop() {
     GatewayFixture fixture;
     RawClient client(fixture.node->address());
-    client.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     bool ended = false;
     fixture.wait_until("ready", [&] { return client.receive(ended) > 0; });
-    client.say(fixture.request_text("crossing"));
+    client.send(fixture.request_text("crossing"));
     fixture.node->stop();
     std::ptrdiff_t bytes = 0;
     fixture.wait_until("the close", [&] { return (bytes = client.receive(ended)) < 0 || ended; });
     assert(ended && bytes == 0);
     fixture.run_for(ms(50));
-    assert(fixture.platform.heard().empty() && fixture.node->desk().tally().came == 0);
+    assert(fixture.platform.received().empty() && fixture.node->dispatcher().counters().received == 0);
 }
 
 // A completed answer reaches its client, even if the client reads slowly.
 void queued_bytes_reach_a_slow_peer_after_a_close() {
     struct IgnoringStreamOwner : Stream::Owner {
-        void bytes_came(Stream&) override {}
-        void stream_closed(Stream&, Closing, const std::string&) override {}
+        void bytes_received(Stream&) override {}
+        void stream_closed(Stream&, CloseReason, const std::string&) override {}
     } stream_owner;
     Loop loop;
     std::unique_ptr<Stream> stream;
@@ -300,7 +306,7 @@
         setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
         stream = Stream::accepted(loop, fd, {0, 0}, stream_owner);
         stream->send(std::string(6 << 20, 'x'));
-        Stream::hand_off_politely(loop, std::move(stream));
+        Stream::detach_and_half_close(loop, std::move(stream));
     });
     RawClient peer(listener.address());
     std::size_t received = 0;
--- a/tests/node/forwarding_test.cpp
+++ b/tests/node/forwarding_test.cpp
@@ -7,7 +7,7 @@
 TEST(Forwarding, EndToEndFieldsReachBothServersAndHopByHopOnesDoNot) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(
+    client->send(fixture.request_text(
         fixture.new_request_id(), "2000",
         "Idempotency-Key: once-7\r\nX-Custom: kept\r\nConnection: X-Private, keep-alive\r\n"
         "X-Private: for the gateway\r\nKeep-Alive: 5\r\nTE: trailers\r\n"));
