--- a/tests/node/gateway_fixture.h
+++ b/tests/node/gateway_fixture.h
@@ -11,7 +11,7 @@
 
 namespace copperfront {
 
-constexpr Span ms(std::int64_t x) { return {x * 1000}; }
+constexpr Duration ms(std::int64_t x) { return {x * 1000}; }
 
 inline const char* const kSettings =
     R"("settings":{"azs":["z"],"zone":"z","balancers":1,"models":["reader","writer"],
@@ -37,25 +37,25 @@
     std::unique_ptr<Stream> stream;
     std::string received;
     bool closed = false;
-    Closing close_reason = Closing::peer_ended;
+    CloseReason close_reason = CloseReason::peer_closed;
     Instant closed_at;
 
     Client(Loop& l, const Address& to) : loop(l) { stream = Stream::dial(l, to, {0, 0}, *this); }
-    ~Client() override { Stream::hand_off(loop, std::move(stream), false); }
-    void stream_made(Stream&) override {}
-    void bytes_came(Stream& s) override {
-        while (s.held() > 0) {
+    ~Client() override { Stream::detach_and_close(loop, std::move(stream), false); }
+    void stream_connected(Stream&) override {}
+    void bytes_received(Stream& s) override {
+        while (s.buffered() > 0) {
             received.append(s.front());
             s.drain(s.front().size());
         }
     }
-    void stream_closed(Stream&, Closing reason, const std::string&) override {
+    void stream_closed(Stream&, CloseReason reason, const std::string&) override {
         closed = true;
         close_reason = reason;
         closed_at = loop.now();
     }
-    void say(const std::string& text) { stream->send(text); }
-    void leave() { Stream::hand_off(loop, std::move(stream), false); }
+    void send(const std::string& text) { stream->send(text); }
+    void disconnect() { Stream::detach_and_close(loop, std::move(stream), false); }
     int status() const { return received.size() < 12 ? 0 : std::atoi(received.c_str() + 9); }
     bool is_complete() const {
         return received.find("data: [DONE]\n\n") != std::string::npos &&
@@ -71,27 +71,27 @@
 struct GatewayFixture {
     Loop loop;
     Log log{"error", "json", "", 1 << 20, 1};
-    standin::Platform platform;
+    fake_server::FakePlatform platform;
     const std::string settings;
     std::unique_ptr<Node> node;
     std::uint64_t next_id = 1;
 
-    explicit GatewayFixture(std::size_t sockets = 256, standin::Platform::Shape shape = {},
+    explicit GatewayFixture(std::size_t sockets = 256, fake_server::FakePlatform::ServiceTimes shape = {},
                             const std::string& node_settings = kSettings)
         : platform(loop, shape), settings(node_settings) {
-        platform.add("r1", Role::reader, "z", 1);
-        platform.add("w1", Role::writer, "z", 1);
+        platform.add("r1", Role::prefill, "z", 1);
+        platform.add("w1", Role::decode, "z", 1);
         start(sockets);
     }
     void start(std::size_t sockets) {
         node = std::make_unique<Node>(
-            loop, terms_for(platform.discovery().text(), platform.list(), sockets, settings), log);
+            loop, terms_for(platform.discovery().text(), platform.list_json(), sockets, settings), log);
     }
     std::unique_ptr<Client> client() { return std::make_unique<Client>(loop, node->address()); }
 
     // Runs the loop until the condition holds; fails the test if it does not hold within the limit.
     template <class Condition>
-    void wait_until(const char* description, Condition condition, Span limit = ms(15000)) {
+    void wait_until(const char* description, Condition condition, Duration limit = ms(15000)) {
         bool timed_out = false;
         Timer timeout(loop, [&] {
             timed_out = true;
@@ -110,7 +110,7 @@
         if (!done) std::fprintf(stderr, "condition not reached: %s\n", description);
         assert(done);
     }
-    void run_for(Span span) {
+    void run_for(Duration span) {
         const Instant end = loop.now() + span;
         wait_until(
             "the time has passed", [&] { return loop.now() >= end; }, span + ms(5000));
@@ -133,7 +133,7 @@
     // Sends one request and waits for its final answer.
     std::unique_ptr<Client> run_request(const std::string& left = "2000") {
         auto sender = client();
-        sender->say(request_text(new_request_id(), left));
+        sender->send(request_text(new_request_id(), left));
         wait_until("an answer", [&] {
             return sender->closed || sender->is_complete() ||
                    (sender->status() != 0 && sender->status() != 200);
@@ -142,9 +142,9 @@
     }
     void wait_until_idle() {
         wait_until("no request open, no attempt in flight, no release owed, no state held", [&] {
-            return node->desk().open_queries() == 0 && node->desk().attempts_out() == 0 &&
-                   node->upstreams().owed() == 0 && node->upstreams().attempts() == 0 &&
-                   platform.states() == 0;
+            return node->dispatcher().open_requests() == 0 && node->dispatcher().attempts_out() == 0 &&
+                   node->upstreams().owed_releases() == 0 && node->upstreams().attempts() == 0 &&
+                   platform.held_state_count() == 0;
         });
     }
 };
--- a/tests/node/held_state_fixture.h
+++ b/tests/node/held_state_fixture.h
@@ -6,7 +6,7 @@
 namespace copperfront {
 
 // The 1,000 ms of the settings, the protocol's slack of 300 ms, and 100 ms for a busy machine.
-inline constexpr Span kMaxHoldTime = ms(1400);
+inline constexpr Duration kMaxHoldTime = ms(1400);
 
 struct HeldStateFixture : ScriptedGatewayFixture {
     using ScriptedGatewayFixture::ScriptedGatewayFixture;
@@ -32,10 +32,10 @@
     std::unique_ptr<Client> send_request_with_decode_at(const std::string& address,
                                                         const std::string& left = "4000",
                                                         const std::string& content = "hello there") {
-        platform.point("w1", address);
+        platform.set_address("w1", address);
         wait_for_list();
         auto sender = client();
-        sender->say(request_text_with_content(new_request_id(), content, left));
+        sender->send(request_text_with_content(new_request_id(), content, left));
         return sender;
     }
 
--- a/tests/node/held_state_test.cpp
+++ b/tests/node/held_state_test.cpp
@@ -30,15 +30,15 @@
     HeldStateFixture fixture(settings_with_effect(GetParam()));
     StalledListener unreachable;
     NonReadingServer non_reading, also_non_reading;
-    fixture.platform.point("w1", unreachable.address());
+    fixture.platform.set_address("w1", unreachable.address());
     for (const auto& [name, at] :
          {std::pair{"w2", non_reading.address()}, std::pair{"w3", also_non_reading.address()}}) {
-        fixture.platform.add(name, Role::writer, "z", 1);
-        fixture.platform.point(name, at);
+        fixture.platform.add(name, Role::decode, "z", 1);
+        fixture.platform.set_address(name, at);
     }
     fixture.wait_for_list();
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     fixture.expect_release_within(fixture.complete_prefill());
 }
 
@@ -53,7 +53,7 @@
     const std::string how = GetParam();
     HeldStateFixture fixture(settings_with_effect("once"));
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "900"));
+    client->send(fixture.request_text(fixture.new_request_id(), "900"));
     const auto connection = fixture.wait_for_post(fixture.prefill, 1);
     const Instant ended = fixture.loop.now();
     if (how == "truncated") {
@@ -81,27 +81,27 @@
 TEST_P(HeldStateHolder, IsReleasedSomewhere) {
     HeldStateFixture fixture;
     StalledListener unreachable;
-    fixture.platform.point("w1", unreachable.address());
+    fixture.platform.set_address("w1", unreachable.address());
     // A running server in addition to those that the test controls.
-    fixture.platform.add("r2", Role::reader, "z", 1);
-    fixture.platform.set("r2", "draining");
+    fixture.platform.add("r2", Role::prefill, "z", 1);
+    fixture.platform.set_status("r2", "draining");
     fixture.wait_for_list();
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     const auto connection = fixture.wait_for_post(fixture.prefill, 1);
     NonReadingServer non_reading;
     switch (GetParam()) {
         case HolderState::draining:
-            fixture.platform.set("r1", "draining");
+            fixture.platform.set_status("r1", "draining");
             break;
         case HolderState::removed:
-            fixture.platform.set("r1", "removed");
+            fixture.platform.set_status("r1", "removed");
             break;
         case HolderState::refuses:
-            fixture.platform.point("r1", "127.0.0.1:1");
+            fixture.platform.set_address("r1", "127.0.0.1:1");
             break;
         case HolderState::silent:
-            fixture.platform.point("r1", non_reading.address());
+            fixture.platform.set_address("r1", non_reading.address());
             break;
     }
     fixture.wait_for_list();
@@ -118,7 +118,7 @@
 TEST(HeldState, ReleaseAnsweredBeforeThePrefillEndsIsRepeated) {
     HeldStateFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     const Instant request_ended = fixture.loop.now();
@@ -131,15 +131,15 @@
 TEST(HeldState, IsReleasedWhileConnectionsAreUsedUp) {
     HeldStateFixture fixture(kSettings, 64);
     auto first = fixture.client();
-    first->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    first->send(fixture.request_text(fixture.new_request_id(), "4000"));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     NonReadingServer non_reading;
-    fixture.platform.point("w1", non_reading.address());
+    fixture.platform.set_address("w1", non_reading.address());
     fixture.wait_for_list();
     std::vector<std::unique_ptr<Client>> others;
     for (int n = 0; n < 60; ++n) {
         others.push_back(fixture.client());
-        others.back()->say(fixture.request_text(fixture.new_request_id(), "4000"));
+        others.back()->send(fixture.request_text(fixture.new_request_id(), "4000"));
     }
     fixture.run_for(ms(300));
     fixture.prefill.send(prefill_connection, prefill_response());
@@ -162,8 +162,8 @@
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, kWarmUpRequests + 1), prefill_response());
     const Instant held_since = fixture.loop.now();
     fixture.wait_until("the hand-over", [&] { return non_reading.has_bytes(); });
-    fixture.platform.add("w2", Role::writer, "z", 1);
-    fixture.platform.point("w2", fixture.decode.address());
+    fixture.platform.add("w2", Role::decode, "z", 1);
+    fixture.platform.set_address("w2", fixture.decode.address());
     fixture.wait_for_list();
     fixture.wait_until("a release", [&] { return fixture.answer_and_count_releases() > 0; });
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, kWarmUpRequests + 2), prefill_response());
@@ -186,12 +186,12 @@
 TEST(HeldState, IsReleasedElsewhereWhileItsServerAcceptsNoConnection) {
     HeldStateFixture fixture;
     NonReadingServer non_reading;
-    fixture.platform.point("w1", non_reading.address());
-    fixture.platform.add("r2", Role::reader, "z", 1);
-    fixture.platform.set("r2", "draining");
+    fixture.platform.set_address("w1", non_reading.address());
+    fixture.platform.add("r2", Role::prefill, "z", 1);
+    fixture.platform.set_status("r2", "draining");
     fixture.wait_for_list();
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     const auto connection = fixture.wait_for_post(fixture.prefill, 1);
     fixture.prefill.close_new_connections(true);
     fixture.prefill.send(connection, response_of(202, "Connection: close\r\n", R"({"cached_tokens":8})"));
@@ -208,7 +208,7 @@
     auto client = fixture.send_request_with_decode_at(stalled.address(), "3000", std::string(200000, 'a'));
     const Instant held_since = fixture.complete_prefill();
     fixture.wait_until("a part of the hand-over is written", [&] { return stalled.has_bytes(); });
-    fixture.platform.set("w1", "draining");
+    fixture.platform.set_status("w1", "draining");
     fixture.wait_for_list();
     fixture.expect_release_within(held_since);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
--- a/tests/node/large_fleet.h
+++ b/tests/node/large_fleet.h
@@ -22,8 +22,8 @@
 namespace copperfront {
 
 // The protocol's limits: 1,000 ms for a held state and 250 ms for a drain, each with its slack.
-constexpr Span kMaxHoldTime = ms(1300);
-constexpr Span kMaxDrainTime = ms(300);
+constexpr Duration kMaxHoldTime = ms(1300);
+constexpr Duration kMaxDrainTime = ms(300);
 
 inline const char* const kLargeFleetSettings =
     R"("settings":{"azs":["a","b"],"zone":"a","balancers":300,"models":["reader","writer"],"quantum-ms":4,
@@ -39,7 +39,7 @@
     double cpu_share = 1;       // CPU share of the gateway once it is ready, in cores
     bool known_list = true;     // the configuration contains the server list
     bool cold_servers = false;  // all servers have just started
-    Span prefill_time = ms(10);
+    Duration prefill_time = ms(10);
     const char* log_level = "info";
     bool log_is_stalled = false;  // log lines go into a pipe that is never read
 };
@@ -54,9 +54,9 @@
         const std::int64_t now_ms = loop.now().us / 1000;
         for (std::size_t n = 0; n < options.servers; ++n) {
             const std::string name = name_of(n);
-            const Role role = is_prefill(n) ? Role::reader : Role::writer;
+            const Role role = is_prefill(n) ? Role::prefill : Role::decode;
             platform.add(name, role, n / 2 % 2 == 0 ? "a" : "b", static_cast<int>(n % 20));
-            if (options.cold_servers) platform.set_start(name, now_ms);
+            if (options.cold_servers) platform.set_process_start(name, now_ms);
         }
     }
     ~LargeFleet() {
@@ -74,7 +74,7 @@
     const Options options_;
 
   public:
-    standin::Platform platform;
+    fake_server::FakePlatform platform;
 
     static std::string name_of(std::size_t n) { return "s-" + std::to_string(100000 + n); }
     static bool is_prefill(std::size_t n) { return n % 2 == 0; }
@@ -86,13 +86,13 @@
         return found;
     }
 
-    void run_for(Span span) {
+    void run_for(Duration span) {
         Timer timer(loop, [this] { loop.stop(); });
         timer.set(span);
         loop.run();
     }
     template <class Condition>
-    bool wait_for(Condition condition, Span limit) {
+    bool wait_for(Condition condition, Duration limit) {
         const Instant end = loop.now() + limit;
         while (!condition()) {
             if (loop.now() > end) return false;
@@ -105,20 +105,20 @@
     void start() {
         std::ofstream file(configuration_);
         const std::string list =
-            options_.known_list ? platform.list() : R"({"index":0,"snapshot":true,"endpoints":[]})";
+            options_.known_list ? platform.list_json() : R"({"index":0,"snapshot":true,"endpoints":[]})";
         file << R"({"name":"n0","listen":")" << address_.text() << R"(","discovery":")"
              << platform.discovery().text() << R"(","seed":"1","limits":{"memory_mb":192,"sockets":1024},)"
              << R"("known":)" << list << ",\n"
              << kLargeFleetSettings << "}\n";
         file.close();
         if (options_.log_is_stalled) stall_log();
-        day::Processes::Start start;
+        scenario::ChildProcesses::ProcessOptions start;
         start.name = kGateway;
         // Runs another build of the program instead, for comparison.
         const char* const other = std::getenv("LARGE_FLEET_PROGRAM");
         start.program = other != nullptr ? other : COPPERFRONT_PROGRAM;
         start.args = {"node", configuration_, "--log-level", options_.log_level};
-        start.errors = log_file();
+        start.stderr_file = log_file();
         processes_.start(std::move(start));
         ASSERT_TRUE(wait_for([this] { return is_ready(); }, ms(20000)));
         if (options_.cpu_share < 1) cpu_share_.emplace(loop, processes_, kGateway, options_.cpu_share);
@@ -136,25 +136,25 @@
     };
     // Sends a request every `apart`. In between, notes which requests have ended and which states servers
     // hold.
-    void send_requests(std::size_t count, Span apart, Span left = ms(4000)) {
+    void send_requests(std::size_t count, Duration apart, Duration left = ms(4000)) {
         for (std::size_t n = 0; n < count; ++n) {
             Request request;
             request.id = "q" + std::to_string(requests.size());
             request.client = std::make_unique<Client>(loop, address_);
             request.sent = loop.now();
-            request.client->say(request_text(request.id, left));
+            request.client->send(request_text(request.id, left));
             requests.push_back(std::move(request));
             observe_for(apart);
         }
     }
-    void observe_for(Span span) {
+    void observe_for(Duration span) {
         const Instant end = loop.now() + span;
         while (loop.now() < end) {
             run_for(std::min(end - loop.now(), ms(10)));
             observe();
         }
     }
-    bool wait_for_answers(Span limit) {
+    bool wait_for_answers(Duration limit) {
         return wait_for(
             [this] {
                 observe();
@@ -170,19 +170,19 @@
             requests.begin(), requests.end(), [](const Request& r) { return r.client->is_complete(); }));
     }
     // Quantile of the times from request to final answer; a missing answer counts as one minute.
-    Span answer_time(double quantile) const {
-        std::vector<Span> times;
+    Duration answer_time(double quantile) const {
+        std::vector<Duration> times;
         for (const Request& r : requests) times.push_back(r.ended.us != 0 ? r.ended - r.sent : ms(60000));
         std::sort(times.begin(), times.end());
         return times[static_cast<std::size_t>(static_cast<double>(times.size() - 1) * quantile)];
     }
     // The longest time a state was held, as seen at the observation points.
-    Span longest_hold() const { return longest_hold_; }
+    Duration longest_hold() const { return longest_hold_; }
     // Prefills and hand-overs that reached one of these servers later than allowed after it was drained.
     std::size_t late_sends(const std::vector<std::string>& servers, Instant drained) const {
         const std::set<std::string> withdrawn(servers.begin(), servers.end());
         return static_cast<std::size_t>(
-            std::count_if(platform.heard().begin(), platform.heard().end(), [&](const auto& request) {
+            std::count_if(platform.received().begin(), platform.received().end(), [&](const auto& request) {
                 return request.method == "POST" && withdrawn.count(request.server) > 0 &&
                        request.at > drained + kMaxDrainTime;
             }));
@@ -190,15 +190,15 @@
     std::size_t whole_lists_written() const {
         return static_cast<std::size_t>(std::count_if(platform.written_lists().begin(),
                                                       platform.written_lists().end(),
-                                                      [](const auto& list) { return list.whole; }));
+                                                      [](const auto& list) { return list.is_snapshot; }));
     }
     // CPU time of the gateway until it is ready, from its log; empty if the log has no such line.
-    std::optional<Span> cpu_until_ready() const {
+    std::optional<Duration> cpu_until_ready() const {
         const std::string text = log(), key = "\"cpu_ms\":";
         const std::size_t started = text.find("\"what\":\"started\"");
         const std::size_t at = started != std::string::npos ? text.find(key, started) : started;
         if (at == std::string::npos) return std::nullopt;
-        return Span{static_cast<std::int64_t>(std::atof(text.c_str() + at + key.size()) * 1000)};
+        return Duration{static_cast<std::int64_t>(std::atof(text.c_str() + at + key.size()) * 1000)};
     }
     // The largest value of this field in the status lines of the gateway's log; -1 if there is none.
     double max_in_log(const std::string& field) const {
@@ -233,12 +233,12 @@
 
     bool is_ready() {
         Client probe(loop, address_);
-        probe.say("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        probe.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         for (int n = 0; n < 20 && probe.status() == 0 && !probe.closed; ++n) run_for(ms(5));
         return probe.status() == 200;
     }
 
-    static std::string request_text(const std::string& id, Span left) {
+    static std::string request_text(const std::string& id, Duration left) {
         const std::string body =
             R"({"model":"chat","stream":true,"messages":[{"role":"user","content":"hi"}]})";
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id +
@@ -271,9 +271,9 @@
                                        std::to_string(getpid()) + ".json";
     const Address address_ = Address::parse(host() + ":18082");
     std::map<std::string, Instant> held_since_;
-    Span longest_hold_;
+    Duration longest_hold_;
     int stalled_log_ = -1;  // both ends of the pipe
-    day::Processes processes_;
+    scenario::ChildProcesses processes_;
     std::optional<soak::CpuShare> cpu_share_;
 };
 
--- a/tests/node/large_fleet_test.cpp
+++ b/tests/node/large_fleet_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kFewServers = 200, kManyServers = 3200;
-constexpr Span kMaxSlowdown = ms(100);  // compared with kFewServers
+constexpr Duration kMaxSlowdown = ms(100);  // compared with kFewServers
 
 // Guards against refusing a list over 256 KiB, which would leave all drains unnoticed.
 TEST(LargeFleet, DrainsAreAppliedFromAListOver256KiB) {
@@ -16,7 +16,7 @@
     std::vector<std::string> drained = fleet.names(true);
     drained.resize(drained.size() / 2);
     const Instant at = fleet.loop.now();
-    fleet.platform.set_all(drained, "draining");
+    fleet.platform.set_statuses(drained, "draining");
     fleet.send_requests(150, ms(10));
     EXPECT_TRUE(fleet.wait_for_answers(ms(5000)));
     EXPECT_EQ(fleet.completed(), 200u);
@@ -28,14 +28,14 @@
 TEST(LargeFleet, ListThatArrivesSlowlyIsApplied) {
     for (const bool begins_late : {false, true}) {
         LargeFleet fleet({.servers = kFewServers});
-        if (begins_late) fleet.platform.whole_lists_take(ms(2000));
-        if (!begins_late) fleet.platform.write_whole_lists_in_pieces(30, ms(48));
+        if (begins_late) fleet.platform.set_snapshot_delay(ms(2000));
+        if (!begins_late) fleet.platform.set_snapshot_pieces(30, ms(48));
         fleet.start();
         fleet.send_requests(300, ms(10));
         std::vector<std::string> drained = fleet.names(true);
         drained.resize(drained.size() / 2);
         const Instant at = fleet.loop.now();
-        fleet.platform.set_all(drained, "draining");
+        fleet.platform.set_statuses(drained, "draining");
         fleet.send_requests(100, ms(10));
         EXPECT_TRUE(fleet.wait_for_answers(ms(5000)));
         EXPECT_EQ(fleet.late_sends(drained, at), 0u) << (begins_late ? "starts late" : "arrives in pieces");
@@ -44,7 +44,7 @@
 
 // Guards against scanning every server for the waiting requests at every event.
 TEST(LargeFleet, WaitingRequestsAreAnsweredAsSoonAsWithFewServers) {
-    Span few_servers_median, few_servers_p99;
+    Duration few_servers_median, few_servers_p99;
     for (const std::size_t servers : {kFewServers, kManyServers}) {
         LargeFleet fleet({.servers = servers, .cpu_share = 0.2, .cold_servers = true});
         fleet.start();
@@ -70,7 +70,7 @@
         fleet.send_requests(100, ms(10));
         const std::vector<std::string> drained = fleet.names(false);
         const Instant at = fleet.loop.now();
-        fleet.platform.set_all(drained, "draining");
+        fleet.platform.set_statuses(drained, "draining");
         fleet.send_requests(100, ms(10));
         EXPECT_TRUE(fleet.wait_for_answers(ms(6000)));
         std::printf("%.1f of a core: longest hold %.0f ms, answers after %.0f ms (median)\n", cpu_share,
@@ -85,10 +85,10 @@
 TEST(LargeFleet, GatewayIsReadyAfterLittleWork) {
     LargeFleet fleet({.servers = kManyServers});
     fleet.start();
-    const std::optional<Span> used = fleet.cpu_until_ready();
+    const std::optional<Duration> used = fleet.cpu_until_ready();
     ASSERT_TRUE(used);
     std::printf("ready after %.1f ms of CPU\n", used->ms());
-    EXPECT_GT(*used, Span{});
+    EXPECT_GT(*used, Duration{});
     EXPECT_LE(*used, ms(30));
 }
 
@@ -96,13 +96,13 @@
 // requests.
 TEST(LargeFleet, NoLoopIterationIsLong) {
     LargeFleet fleet({.servers = kManyServers, .cold_servers = true});
-    fleet.platform.indent_lists(true);
+    fleet.platform.set_list_indent(true);
     fleet.start();
     fleet.send_requests(500, ms(1));
-    fleet.platform.watches_are_reset();
+    fleet.platform.reset_watches();
     std::vector<std::string> drained = fleet.names(true);
     drained.resize(drained.size() / 2);
-    fleet.platform.set_all(drained, "draining");
+    fleet.platform.set_statuses(drained, "draining");
     fleet.observe_for(ms(2500));
     EXPECT_GE(fleet.max_in_log("requests_waiting"), 300);
     EXPECT_EQ(fleet.max_in_log("list_entries"), static_cast<double>(kManyServers));
@@ -118,11 +118,11 @@
     LargeFleet fleet({.servers = kManyServers, .known_list = false, .cold_servers = true});
     std::vector<std::string> later = fleet.names(true);
     later.resize(later.size() / 2);
-    fleet.platform.set_all(later, "removed");
+    fleet.platform.set_statuses(later, "removed");
     fleet.start();
     fleet.observe_for(ms(300));
     fleet.send_requests(500, ms(1));
-    fleet.platform.set_all(later, "up");
+    fleet.platform.set_statuses(later, "up");
     fleet.observe_for(ms(2500));
     EXPECT_GE(fleet.max_in_log("requests_waiting"), 300);
     EXPECT_EQ(fleet.max_in_log("list_entries"), static_cast<double>(kManyServers));
@@ -135,10 +135,10 @@
 // Guards against handling lists before everything else, which delays answers until the last list has arrived.
 TEST(LargeFleet, ConsecutiveListsDelayNoAnswer) {
     LargeFleet fleet({.servers = kManyServers, .cpu_share = 0.1});
-    fleet.platform.write_whole_lists_in_pieces(10, ms(20));
+    fleet.platform.set_snapshot_pieces(10, ms(20));
     fleet.start();
     for (int n = 0; n < 15; ++n) {
-        fleet.platform.watches_are_reset();
+        fleet.platform.reset_watches();
         fleet.send_requests(4, ms(50));
     }
     EXPECT_TRUE(fleet.wait_for_answers(ms(4000)));
@@ -178,14 +178,14 @@
         std::filesystem::temp_directory_path() / ("past-the-bound-" + std::to_string(getpid()));
     std::ofstream(file) << std::string(kPastTheLimit, ' ');
     Loop loop;
-    day::Processes processes(loop);
+    scenario::ChildProcesses processes(loop);
     std::optional<int> status;
-    day::Processes::Start start;
+    scenario::ChildProcesses::ProcessOptions start;
     start.name = "gateway";
     start.program = COPPERFRONT_PROGRAM;
     start.args = {"node", file};
-    start.errors = file + ".log";
-    start.ended = [&](int how) {
+    start.stderr_file = file + ".log";
+    start.on_exit = [&](int how) {
         status = how;
         loop.stop();
     };
--- a/tests/node/limits_test.cpp
+++ b/tests/node/limits_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Instant kStart{1'000'000'000};
-constexpr Span kMs{1000};
+constexpr Duration kMs{1000};
 
 struct ManualClock : Clock {
     Instant time = kStart;
@@ -45,7 +45,7 @@
     }
     void cancel_release(ReleaseCallId call) override { open.erase(call); }
     void release_answered(const std::string&, const HoldLedger::ReleaseResult&) override {}
-    void release_given_up(const std::string&, const HoldLedger::ReleaseResult&) override {}
+    void release_abandoned(const std::string&, const HoldLedger::ReleaseResult&) override {}
     HoldLedger& ledger() override { return hold_ledger; }
     SendGuard& guard() override { return send_guard; }
 };
@@ -60,7 +60,7 @@
     EXPECT_EQ(attempts.size(), kMaxFollowed);
     EXPECT_EQ(attempts.overflows(), kExcess);
     for (int round = 0; round < 35 * 50; ++round) {
-        attempts.look();
+        attempts.send_due();
         clock.time = clock.time + kMs * 20;
     }
     EXPECT_EQ(attempts.size(), 0u);
@@ -83,9 +83,9 @@
         Log log("info", "text", file, 1 << 20, 1);
         RequestLog requests(log);
         for (int n = 0; n < kMaxLinesPerSecond + kExcess; ++n)
-            requests.request_over("q" + std::to_string(n), RequestLog::Final::failed, "no server", kStart);
-        requests.release_answered("late", HoldLedger::Proof::let_go, kMs * 1400, false, "", kStart);
-        requests.request_over("next", RequestLog::Final::failed, "no server", kStart + kMs * 1000);
+            requests.request_ended("q" + std::to_string(n), RequestLog::Final::failed, "no server", kStart);
+        requests.release_answered("late", HoldLedger::Proof::released, kMs * 1400, false, "", kStart);
+        requests.request_ended("next", RequestLog::Final::failed, "no server", kStart + kMs * 1000);
         log.flush();
     }
     std::ifstream written(file);
--- a/tests/node/membership_test.cpp
+++ b/tests/node/membership_test.cpp
@@ -18,71 +18,72 @@
     std::vector<std::string> endpoints;
 
     void reserve(std::size_t) override {}
-    void learn(ServerIndex, const Membership::Endpoint& endpoint) override {
+    void set_endpoint(ServerIndex, const Membership::Endpoint& endpoint) override {
         endpoints.push_back(endpoint.text);
     }
-    void shun(ServerIndex server) override { stopped.insert(server); }
-    void gone(ServerIndex server) override { removed.insert(server); }
+    void stop_new_attempts(ServerIndex server) override { stopped.insert(server); }
+    void remove_server(ServerIndex server) override { removed.insert(server); }
     bool is_idle(ServerIndex server) const override { return busy.count(server) == 0; }
 };
 
 struct RecordingOwner : Membership::Owner {
     struct Change {
-        std::vector<Listing> listings;
-        bool whole;
+        std::vector<ServerListing> listings;
+        bool is_snapshot;
     };
     std::vector<Change> reported;
 
-    void servers_changed(std::span<const Listing> listings, bool whole) override {
-        reported.push_back({{listings.begin(), listings.end()}, whole});
+    void servers_changed(std::span<const ServerListing> listings, bool is_snapshot) override {
+        reported.push_back({{listings.begin(), listings.end()}, is_snapshot});
     }
     // The last reported status of a server.
-    Standing standing(ServerIndex server) const {
-        Standing last = Standing::gone;
+    ServerStatus status(ServerIndex server) const {
+        ServerStatus last = ServerStatus::removed;
         for (const Change& change : reported) {
-            for (const Listing& listing : change.listings) {
-                if (listing.server == server) last = listing.standing;
+            for (const ServerListing& listing : change.listings) {
+                if (listing.server == server) last = listing.status;
             }
         }
         return last;
     }
 };
 
-platform::Entry entry(const std::string& name, Standing standing = Standing::ready, Instant born = {}) {
-    platform::Entry result;
+platform::ServerEntry entry(const std::string& name, ServerStatus status = ServerStatus::ready,
+                            Instant started_at = {}) {
+    platform::ServerEntry result;
     result.name = name;
     result.address = "127.0.0.1:7000";
     result.zone = "a";
     result.kind = "reader";
     result.cell = "c1";
-    result.standing = standing;
-    result.born = born;
+    result.status = status;
+    result.started_at = started_at;
     return result;
 }
 
-platform::News long_list() {
-    platform::News update;
-    update.whole = true;
+platform::ServerListUpdate long_list() {
+    platform::ServerListUpdate update;
+    update.is_snapshot = true;
     for (std::size_t n = 0; n < kLongListSize; ++n) update.entries.push_back(entry("s" + std::to_string(n)));
     return update;
 }
 
 class MembershipTest : public testing::Test {
   protected:
-    MembershipTest() { kinds_.index("reader"); }
-    void apply(platform::News update) {
+    MembershipTest() { kinds_.intern("reader"); }
+    void apply(platform::ServerListUpdate update) {
         const Loop::Event event(loop, "test");
-        membership.take(std::move(update));
+        membership.apply_update(std::move(update));
     }
-    void apply_change(std::vector<platform::Entry> entries) { apply({2, false, std::move(entries)}); }
+    void apply_change(std::vector<platform::ServerEntry> entries) { apply({2, false, std::move(entries)}); }
     void run_loop() {
         Timer end(loop, [this] { loop.stop(); });
-        end.set(Span{50000});
+        end.set(Duration{50000});
         loop.run();
     }
 
   private:
-    Names kinds_, zones_;
+    NameTable kinds_, zones_;
     Log log_{"off", "json", "", 1 << 20, 1};
 
   public:
@@ -102,32 +103,32 @@
     std::size_t listings = 0;
     for (const auto& change : changes.reported) listings = std::max(listings, change.listings.size());
     EXPECT_EQ(listings, kLongListSize);
-    EXPECT_TRUE(changes.reported.back().whole);
+    EXPECT_TRUE(changes.reported.back().is_snapshot);
 }
 
 // Guards against requests to a server that a long list withdraws in its last entries.
 TEST_F(MembershipTest, ServersThatALongListWithdrawsAreWithdrawnAtOnce) {
     apply(long_list());
     run_loop();
-    platform::News update = long_list();
-    update.entries.back().standing = Standing::draining;
+    platform::ServerListUpdate update = long_list();
+    update.entries.back().status = ServerStatus::draining;
     const ServerIndex last = kLongListSize - 1;
     apply(std::move(update));
-    EXPECT_EQ(changes.standing(last), Standing::draining);
+    EXPECT_EQ(changes.status(last), ServerStatus::draining);
     EXPECT_EQ(connections.stopped.count(last), 1u);
     run_loop();
-    EXPECT_EQ(changes.standing(last), Standing::draining);
+    EXPECT_EQ(changes.status(last), ServerStatus::draining);
 }
 
 // Guards against an older list that is applied after a newer one because it takes longer to process.
 TEST_F(MembershipTest, ChangeThatArrivesWhileALongListIsProcessedIsAppliedAfterIt) {
     apply(long_list());
-    apply_change({entry("s7", Standing::draining), entry("s8", Standing::gone)});
+    apply_change({entry("s7", ServerStatus::draining), entry("s8", ServerStatus::removed)});
     EXPECT_EQ(membership.size(), kLongListSize - 1);
-    EXPECT_EQ(changes.standing(7), Standing::draining);
+    EXPECT_EQ(changes.status(7), ServerStatus::draining);
     EXPECT_FALSE(membership.has("s8"));
     run_loop();
-    EXPECT_EQ(changes.standing(7), Standing::draining);
+    EXPECT_EQ(changes.status(7), ServerStatus::draining);
     EXPECT_FALSE(membership.has("s8"));
 }
 
@@ -141,9 +142,9 @@
 
 // Guards against attributing answers of a removed server to the one that has its index by then.
 TEST_F(MembershipTest, IndexIsReusedOnlyOnceItsServerIsIdle) {
-    apply_change({entry("a", Standing::ready, kStarted)});
+    apply_change({entry("a", ServerStatus::ready, kStarted)});
     connections.busy.insert(0);
-    apply_change({entry("a", Standing::gone)});
+    apply_change({entry("a", ServerStatus::removed)});
     apply_change({entry("b")});
     EXPECT_EQ(membership.indices(), 2u);
     EXPECT_EQ(membership.name_of(0), "a");
@@ -158,17 +159,17 @@
 TEST_F(MembershipTest, FleetReplacedWithoutStartTimesUsesAtMostTwiceItsSize) {
     std::vector<Instant> starts(2 * kLongListSize, Instant{-1});
     for (int round = 0; round < 6; ++round) {
-        platform::News update = long_list();
-        for (platform::Entry& each : update.entries) each.name += "-" + std::to_string(round);
+        platform::ServerListUpdate update = long_list();
+        for (platform::ServerEntry& each : update.entries) each.name += "-" + std::to_string(round);
         const std::size_t before = changes.reported.size();
         apply(std::move(update));
         run_loop();
         EXPECT_EQ(membership.size(), kLongListSize);
         ASSERT_LE(membership.indices(), 2 * kLongListSize);
         ASSERT_GT(changes.reported.size(), before);
-        for (const Listing& listing : changes.reported.back().listings) {
-            EXPECT_NE(listing.born, starts[listing.server]);
-            starts[listing.server] = listing.born;
+        for (const ServerListing& listing : changes.reported.back().listings) {
+            EXPECT_NE(listing.started_at, starts[listing.server]);
+            starts[listing.server] = listing.started_at;
         }
     }
 }
@@ -176,20 +177,20 @@
 // Guards against treating a server as a new process each time a list names it.
 TEST_F(MembershipTest, StartOfAServerWithAReusedIndexStaysTheSame) {
     apply_change({entry("a")});
-    apply_change({entry("a", Standing::gone)});
+    apply_change({entry("a", ServerStatus::removed)});
     apply_change({entry("b")});
     ASSERT_EQ(membership.name_of(0), "b");
-    const Instant start = changes.reported.back().listings.at(0).born;
+    const Instant start = changes.reported.back().listings.at(0).started_at;
     EXPECT_NE(start, Instant{});
-    apply_change({entry("b", Standing::draining)});
-    EXPECT_EQ(changes.reported.back().listings.at(0).born, start);
-    apply_change({entry("b", Standing::ready, kStarted)});
-    EXPECT_NE(changes.reported.back().listings.at(0).born, start);
+    apply_change({entry("b", ServerStatus::draining)});
+    EXPECT_EQ(changes.reported.back().listings.at(0).started_at, start);
+    apply_change({entry("b", ServerStatus::ready, kStarted)});
+    EXPECT_NE(changes.reported.back().listings.at(0).started_at, start);
 }
 
 // Guards against dropping a whole list because one of its entries can't be used.
 TEST_F(MembershipTest, UnusableEntryIsSkipped) {
-    platform::Entry unresolved = entry("a"), unknown_kind = entry("b");
+    platform::ServerEntry unresolved = entry("a"), unknown_kind = entry("b");
     unresolved.address = "example.org:80";
     unknown_kind.kind = "painter";
     apply_change({unresolved, unknown_kind, entry("c")});
--- a/tests/node/pipelined_test.cpp
+++ b/tests/node/pipelined_test.cpp
@@ -20,7 +20,7 @@
     auto client = fixture.client();
     const std::string first = fixture.request_text(fixture.new_request_id(), "2000"),
                       second = fixture.request_text(fixture.new_request_id(), "2000");
-    client->say(first + second);
+    client->send(first + second);
     const Instant sent = fixture.loop.now();
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
@@ -35,8 +35,8 @@
 TEST(RequestBehindAnother, IsRejectedOnceItsTimeIsOver) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "2000") +
-                fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "2000") +
+                 fixture.request_text(fixture.new_request_id(), "300"));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
     fixture.run_for(ms(600));
@@ -52,7 +52,7 @@
         ScriptedGatewayFixture fixture;
         auto client = std::make_unique<RawClient>(fixture.node->address());
         if (!on_new_connection) fixture.run_for(ms(50));
-        client->say(fixture.request_text(fixture.new_request_id(), "2000"));
+        client->send(fixture.request_text(fixture.new_request_id(), "2000"));
         std::this_thread::sleep_for(std::chrono::milliseconds(500));
         fixture.wait_for_post(fixture.prefill, 1);
         EXPECT_LE(time_left_ms(fixture.last_request(fixture.prefill)), 2000 - 500 + kTimeLeftSlackMs);
--- a/tests/node/raw_client.h
+++ b/tests/node/raw_client.h
@@ -29,7 +29,7 @@
             setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
         }
         sockaddr_storage raw{};
-        const int length = to.fill(&raw);
+        const int length = to.fill_sockaddr(&raw);
         const int connected = connect(fd_, reinterpret_cast<sockaddr*>(&raw), static_cast<socklen_t>(length));
         assert(connected == 0);
         (void)connected;
@@ -41,14 +41,14 @@
         if (fd_ >= 0) close(fd_);
     }
 
-    void say(const std::string& text) const {
+    void send(const std::string& text) const {
         const ssize_t written = write(fd_, text.data(), text.size());
         assert(written == static_cast<ssize_t>(text.size()));
         (void)written;
     }
     // Closes the sending direction; answers can still be read.
     void half_close() const { shutdown(fd_, SHUT_WR); }
-    void leave() {
+    void disconnect() {
         close(fd_);
         fd_ = -1;
     }
@@ -56,7 +56,7 @@
     void reset() {
         const linger now{1, 0};
         setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        leave();
+        disconnect();
     }
 
     // Returns the number of bytes received since the last call, or -1 if the connection was reset. `ended`:
@@ -70,7 +70,7 @@
         return errno == EAGAIN ? 0 : -1;
     }
     // All bytes received so far, including what this call reads.
-    const std::string& heard() {
+    const std::string& received() {
         bool ended = false;
         while (receive(ended) > 0) {
         }
@@ -79,11 +79,11 @@
         return received_;
     }
     bool has_ended() {
-        heard();
+        received();
         return has_ended_;
     }
     bool was_reset() {
-        heard();
+        received();
         return was_reset_;
     }
 
--- a/tests/node/release_proof_test.cpp
+++ b/tests/node/release_proof_test.cpp
@@ -23,7 +23,7 @@
         for (const bool head_sent : {false, true}) {
             HeldStateFixture fixture(settings_with_effect(effect));
             auto client = fixture.client();
-            client->say(fixture.request_text(fixture.new_request_id(), "1800"));
+            client->send(fixture.request_text(fixture.new_request_id(), "1800"));
             fixture.complete_prefill();
             const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
             if (head_sent) fixture.decode.send(decode_connection, stream_start());
@@ -58,7 +58,7 @@
     for (const auto& [name, part] : parts) {
         HeldStateFixture fixture(settings_with_effect("once"));
         auto client = fixture.client();
-        client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+        client->send(fixture.request_text(fixture.new_request_id(), "4000"));
         fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), part);
         const Instant ended = fixture.loop.now();
         fixture.wait_until("a release", [&] { return fixture.answer_and_count_releases() > 0; });
--- a/tests/node/release_test.cpp
+++ b/tests/node/release_test.cpp
@@ -10,7 +10,7 @@
 TEST(Release, IsNotSentWhileAnotherPrefillOfItsRequestFollows) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     const auto first = fixture.wait_for_post(fixture.prefill, 1);
     fixture.prefill.reset(first);
     const auto second = fixture.wait_for_post(fixture.prefill, 2);
@@ -29,7 +29,7 @@
 TEST(Release, IsSentTwiceElsewhereOnceItsRequestHasEnded) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     const Instant request_ended = fixture.loop.now();
@@ -41,11 +41,11 @@
     });
     EXPECT_LT(fixture.loop.now() - request_ended, ms(600));
     EXPECT_GE(fixture.decode.count("DELETE"), 1u);
-    fixture.wait_until("no release is owed", [&] { return fixture.node->upstreams().owed() == 0; });
+    fixture.wait_until("no release is owed", [&] { return fixture.node->upstreams().owed_releases() == 0; });
 }
 
 // The hold time of the settings, with the slack that a gateway is allowed and some for a busy machine.
-constexpr Span kMaxHoldTime = ms(1300);
+constexpr Duration kMaxHoldTime = ms(1300);
 
 // The kernel of a decode server accepts the bytes while its process reads none of them: the hand-over has not
 // reached a running server, so it does not extend the time limit of the state. The state is released in time,
@@ -55,10 +55,10 @@
 TEST_P(UnreadHandOver, ReleasesTheStateInTime) {
     ScriptedGatewayFixture fixture(settings_with_effect(GetParam()));
     NonReadingServer hung;
-    fixture.platform.point("w1", hung.address());
+    fixture.platform.set_address("w1", hung.address());
     fixture.wait_for_list();
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     const Instant prefill_ended = fixture.loop.now();
     fixture.wait_until("the hand-over is unread in the socket of the hung server",
@@ -77,11 +77,11 @@
     ScriptedGatewayFixture fixture;
     NonReadingServer hung;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     const auto first = fixture.wait_for_post(fixture.prefill, 1);
-    fixture.platform.add("r2", Role::reader, "z", 1);
-    fixture.platform.point("r2", hung.address());
-    fixture.platform.set("r1", "draining");
+    fixture.platform.add("r2", Role::prefill, "z", 1);
+    fixture.platform.set_address("r2", hung.address());
+    fixture.platform.set_status("r1", "draining");
     fixture.wait_for_list();
     const Instant reset_at = fixture.loop.now();
     fixture.prefill.reset(first);
@@ -100,7 +100,7 @@
 // running server in time.
 void expect_release_at_running_server(ScriptedGatewayFixture& fixture) {
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     const Instant prefill_ended = fixture.loop.now();
     fixture.wait_until("a release at a running server", [&] { return fixture.platform.count("DELETE") > 0; });
@@ -114,11 +114,11 @@
     for (int n = 0; n < 12; ++n) {
         hung.push_back(std::make_unique<NonReadingServer>());
         const std::string name = "hung-" + std::to_string(n);
-        fixture.platform.add(name, Role::writer, "z", 1);
-        fixture.platform.point(name, hung.back()->address());
-        fixture.platform.set(name, "draining");
+        fixture.platform.add(name, Role::decode, "z", 1);
+        fixture.platform.set_address(name, hung.back()->address());
+        fixture.platform.set_status(name, "draining");
     }
-    fixture.platform.point("w1", hung[0]->address());
+    fixture.platform.set_address("w1", hung[0]->address());
     fixture.wait_for_list();
     // Only the marker servers that the test adds to follow the list answer.
     expect_release_at_running_server(fixture);
@@ -132,11 +132,11 @@
     NonReadingServer hung;
     for (int n = 0; n < 2 * kServersPerHalf; ++n) {
         const std::string name = "server-" + std::to_string(1000 + n);
-        fixture.platform.add(name, Role::writer, "z", 1);
-        if (n < kServersPerHalf) fixture.platform.point(name, hung.address());
-        fixture.platform.set(name, "draining");
+        fixture.platform.add(name, Role::decode, "z", 1);
+        if (n < kServersPerHalf) fixture.platform.set_address(name, hung.address());
+        fixture.platform.set_status(name, "draining");
     }
-    for (const char* name : {"w1", "marker-q1"}) fixture.platform.point(name, hung.address());
+    for (const char* name : {"w1", "marker-q1"}) fixture.platform.set_address(name, hung.address());
     fixture.start(256);
     expect_release_at_running_server(fixture);
 }
@@ -146,7 +146,7 @@
 TEST(Release, FollowsAPrefillThatAHungServerMayStartLater) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     std::size_t at_decode = 0;
@@ -158,7 +158,7 @@
     // The prefill server runs again and answers a prefill.
     const std::size_t before = fixture.prefill.count("DELETE");
     auto next = fixture.client();
-    next->say(fixture.request_text(fixture.new_request_id(), "2000"));
+    next->send(fixture.request_text(fixture.new_request_id(), "2000"));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
     fixture.prefill.send(prefill_connection, prefill_response());
     fixture.wait_until(
@@ -182,7 +182,7 @@
 TEST(Release, OfALatePrefillIsRepeatedElsewhereAndOnceItsServerAnswers) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     std::size_t at_decode = 0, at_prefill = 0;
@@ -210,9 +210,9 @@
 TEST(Release, OfALatePrefillIsRepeatedElsewhereAfterItsServerWasRemoved) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
-    fixture.platform.set("r1", "removed");
+    fixture.platform.set_status("r1", "removed");
     fixture.wait_for_list();
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     std::size_t at_decode = 0;
@@ -235,10 +235,10 @@
         fixture.answer_releases(successor, at_successor);
     };
     // An index is reused where the list gives another start time with the new name.
-    fixture.platform.set_start("r1", (fixture.loop.now() - ms(3600000)).us / 1000);
+    fixture.platform.set_process_start("r1", (fixture.loop.now() - ms(3600000)).us / 1000);
     fixture.start(256);
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "300"));
+    client->send(fixture.request_text(fixture.new_request_id(), "300"));
     fixture.wait_for_post(fixture.prefill, 1);
     fixture.wait_until("a final answer", [&] { return client->status() != 0; });
     fixture.wait_until("the late prefill is followed", [&] {
@@ -247,14 +247,15 @@
     });
     const std::size_t indices = fixture.node->server_indices();
     if (GetParam() == Successor::same_name_elsewhere) {
-        fixture.platform.point("r1", successor.address());
+        fixture.platform.set_address("r1", successor.address());
     } else {
-        fixture.platform.set("r1", "removed");
-        fixture.wait_until("the server is removed from the list", [&] { return !fixture.node->knows("r1"); });
+        fixture.platform.set_status("r1", "removed");
+        fixture.wait_until("the server is removed from the list",
+                           [&] { return !fixture.node->has_server("r1"); });
         fixture.run_for(ms(1000));  // its index is reused once nothing is in progress there
-        fixture.platform.add("r9", Role::reader, "z", 1);
-        fixture.platform.point("r9", successor.address());
-        fixture.wait_until("its successor is in the list", [&] { return fixture.node->knows("r9"); });
+        fixture.platform.add("r9", Role::prefill, "z", 1);
+        fixture.platform.set_address("r9", successor.address());
+        fixture.wait_until("its successor is in the list", [&] { return fixture.node->has_server("r9"); });
         EXPECT_EQ(fixture.node->server_indices(), indices);
     }
     const Instant replaced_at = fixture.loop.now();
--- a/tests/node/retries_test.cpp
+++ b/tests/node/retries_test.cpp
@@ -36,7 +36,7 @@
         fixture.decode.send(used, whole_stream("mine"));
         fixture.wait_until("the first answer", [&] { return first->is_complete(); });
         auto second = fixture.client();
-        second->say(fixture.request_text(fixture.new_request_id()));
+        second->send(fixture.request_text(fixture.new_request_id()));
         const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
         // Both are written in one iteration of the loop, the late bytes first.
         fixture.decode.send(used, late);
@@ -58,7 +58,7 @@
         fixture.decode.send(used, whole_stream("mine"));
         fixture.wait_until("the first answer", [&] { return first->is_complete(); });
         auto second = fixture.client();
-        second->say(fixture.request_text(fixture.new_request_id()));
+        second->send(fixture.request_text(fixture.new_request_id()));
         const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
         reset ? fixture.decode.reset(used) : fixture.decode.close(used);
         fixture.prefill.send(prefill_connection, prefill_response());
@@ -66,7 +66,9 @@
         EXPECT_NE(next, used);
         fixture.decode.send(next, whole_stream("yours"));
         fixture.wait_until("the second answer", [&] { return second->is_complete(); });
-        EXPECT_EQ(fixture.node->desk().tally().endings[static_cast<std::size_t>(Ending::broken)], 0u);
+        EXPECT_EQ(
+            fixture.node->dispatcher().counters().endings[static_cast<std::size_t>(Ending::connection_lost)],
+            0u);
     }
 }
 
@@ -104,15 +106,16 @@
     const auto used = fixture.advance_to_decode(*client, 1, "4000", "repeated");
     // The other decode server accepts no connections yet.
     auto stalled = std::make_unique<StalledListener>();
-    fixture.platform.add("w2", Role::writer, "z", 1);
-    fixture.platform.point("w2", stalled->address());
-    fixture.platform.set("w1", "draining");
+    fixture.platform.add("w2", Role::decode, "z", 1);
+    fixture.platform.set_address("w2", stalled->address());
+    fixture.platform.set_status("w1", "draining");
     fixture.wait_for_list();
     fixture.decode.reset(used);
     // The state may be lost with the reset, so a new prefill comes first.
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 2), prefill_response());
     fixture.wait_until("the retry waits for its connection", [&] {
-        return fixture.node->desk().tally().writes == 2 && fixture.node->upstreams().attempts() == 1;
+        return fixture.node->dispatcher().counters().decodes == 2 &&
+               fixture.node->upstreams().attempts() == 1;
     });
     fixture.run_for(ms(400));
     stalled->accept_all();
@@ -139,14 +142,14 @@
 TEST(NonIdempotent, ResetBeforeTheLastByteIsRetried) {
     ScriptedGatewayFixture fixture(settings_with_effect("once"));
     NonReadingServer non_reading;
-    fixture.platform.point("r1", non_reading.address());
+    fixture.platform.set_address("r1", non_reading.address());
     fixture.wait_for_list();
     auto client = fixture.client();
     // More than the socket buffers hold, so that the last byte stays in the gateway.
-    client->say(fixture.request_text_with_content(fixture.new_request_id(), std::string(200 << 10, 'x')));
+    client->send(fixture.request_text_with_content(fixture.new_request_id(), std::string(200 << 10, 'x')));
     fixture.wait_until("a part of the request is written", [&] { return non_reading.has_bytes(); });
     fixture.run_for(ms(30));
-    fixture.platform.point("r1", fixture.prefill.address());
+    fixture.platform.set_address("r1", fixture.prefill.address());
     fixture.wait_for_list();
     non_reading.reset();
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
@@ -161,12 +164,12 @@
 TEST(CancelledAttempt, ConnectionIsReset) {
     ScriptedGatewayFixture fixture;
     RawClient client(fixture.node->address());
-    client.say(fixture.request_text(fixture.new_request_id()));
+    client.send(fixture.request_text(fixture.new_request_id()));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
-    client.leave();
+    client.disconnect();
     fixture.wait_until("the server sees the close",
                        [&] { return !fixture.prefill.is_open(prefill_connection); });
-    EXPECT_EQ(fixture.prefill.close_reason(prefill_connection), Closing::broken);
+    EXPECT_EQ(fixture.prefill.close_reason(prefill_connection), CloseReason::broken);
 }
 
 // ---- clients that disconnect
@@ -176,11 +179,12 @@
     for (const bool reset : {false, true}) {
         ScriptedGatewayFixture fixture;
         RawClient client(fixture.node->address());
-        client.say(fixture.request_text(fixture.new_request_id()));
+        client.send(fixture.request_text(fixture.new_request_id()));
         const auto used = fixture.wait_for_post(fixture.prefill, 1);
-        reset ? client.reset() : client.leave();
+        reset ? client.reset() : client.disconnect();
         fixture.prefill.send(used, response_of(500, "", ""));
-        fixture.wait_until("the request has ended", [&] { return fixture.node->desk().open_queries() == 0; });
+        fixture.wait_until("the request has ended",
+                           [&] { return fixture.node->dispatcher().open_requests() == 0; });
         fixture.run_for(ms(100));
         EXPECT_EQ(fixture.prefill.count("POST"), 1u);
         EXPECT_EQ(fixture.decode.count("POST"), 0u);
--- a/tests/node/scripted_gateway_fixture.h
+++ b/tests/node/scripted_gateway_fixture.h
@@ -25,8 +25,8 @@
 
     explicit ScriptedGatewayFixture(const std::string& node_settings = kSettings, std::size_t sockets = 256)
         : GatewayFixture(sockets, {}, node_settings) {
-        platform.point("r1", prefill.address());
-        platform.point("w1", decode.address());
+        platform.set_address("r1", prefill.address());
+        platform.set_address("w1", decode.address());
         wait_until("the scripted servers are in the list", [&] { return has_applied_list(); });
     }
 
@@ -35,10 +35,10 @@
     bool has_applied_list() {
         if (marker_.empty()) {
             marker_ = "marker-" + new_request_id();
-            platform.add(marker_, Role::writer, "z", 1);
-            platform.set(marker_, "draining");
+            platform.add(marker_, Role::decode, "z", 1);
+            platform.set_status(marker_, "draining");
         }
-        if (!node->knows(marker_)) return false;
+        if (!node->has_server(marker_)) return false;
         marker_.clear();
         return true;
     }
@@ -61,7 +61,7 @@
     // hand-over and not answered yet. Returns the connection of the hand-over.
     Connection advance_to_decode(Client& client, std::size_t n = 1, const std::string& left = "2000",
                                  const std::string& id = "") {
-        client.say(request_text(id.empty() ? new_request_id() : id, left));
+        client.send(request_text(id.empty() ? new_request_id() : id, left));
         prefill.send(wait_for_post(prefill, n), prefill_response());
         return wait_for_post(decode, n);
     }
--- a/tests/node/scripted_server.h
+++ b/tests/node/scripted_server.h
@@ -43,14 +43,14 @@
     std::size_t accepted() const { return next_; }
     bool is_open(ConnectionId id) const { return connections_.count(id) > 0; }
     // Why a connection that is no longer open was closed.
-    Closing close_reason(ConnectionId id) const { return close_reasons_.at(id); }
+    CloseReason close_reason(ConnectionId id) const { return close_reasons_.at(id); }
 
     void send(ConnectionId id, const std::string& bytes) { connections_.at(id)->stream->send(bytes); }
     // Closes new connections right after accepting them, like a server at its connection limit.
     void close_new_connections(bool on) { closes_new_ = on; }
     void pause_reading(ConnectionId id, bool pause) { connections_.at(id)->stream->pause_reading(pause); }
     // Closes the connection gracefully, after all sent bytes have been written.
-    void close(ConnectionId id) { Stream::hand_off(loop_, detach(id), true); }
+    void close(ConnectionId id) { Stream::detach_and_close(loop_, detach(id), true); }
     void reset(ConnectionId id) { Stream::reset(loop_, detach(id)); }
 
   private:
@@ -61,25 +61,25 @@
         std::unique_ptr<http::Message> message;
         std::string body;
 
-        void bytes_came(Stream& s) override {
-            while (s.held() > 0) {
+        void bytes_received(Stream& s) override {
+            while (s.buffered() > 0) {
                 if (!message) {
                     message = std::make_unique<http::Message>(
-                        http::Sort::call, http::Bounds{65536, 1 << 20},
+                        http::MessageKind::request, http::Bounds{65536, 1 << 20},
                         [this](std::string_view piece) { body.append(piece); });
                 }
                 const std::size_t taken = message->take(s.front());
                 s.drain(taken);
-                if (message->trouble() != http::Trouble::none) return s.drain(s.held());
+                if (message->error() != http::ParseError::none) return s.drain(s.buffered());
                 if (!message->done()) continue;
                 server->requests_.push_back(
                     {id, message->head(), std::exchange(body, {}), server->loop_.now()});
                 message.reset();
             }
         }
-        void stream_closed(Stream&, Closing why, const std::string&) override {
+        void stream_closed(Stream&, CloseReason why, const std::string&) override {
             server->close_reasons_[id] = why;
-            Stream::hand_off(server->loop_, server->detach(id), false);
+            Stream::detach_and_close(server->loop_, server->detach(id), false);
         }
     };
 
@@ -98,7 +98,7 @@
         const auto it = connections_.find(id);
         assert(it != connections_.end());
         std::unique_ptr<Stream> stream = std::move(it->second->stream);
-        loop_.bury(std::move(it->second));
+        loop_.delete_later(std::move(it->second));
         connections_.erase(it);
         return stream;
     }
@@ -108,7 +108,7 @@
     ConnectionId next_ = 0;
     bool closes_new_ = false;
     std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-    std::map<ConnectionId, Closing> close_reasons_;
+    std::map<ConnectionId, CloseReason> close_reasons_;
     std::vector<Request> requests_;
 };
 
--- a/tests/node/server_starts_test.cpp
+++ b/tests/node/server_starts_test.cpp
@@ -6,7 +6,7 @@
 namespace copperfront {
 namespace {
 
-constexpr Span seconds(std::int64_t n) { return {n * 1000000}; }
+constexpr Duration seconds(std::int64_t n) { return {n * 1000000}; }
 constexpr Instant kNow{1800000000000000};
 
 TEST(ServerStarts, StartOfLongAgoStaysLongAgo) {
--- a/tests/node/settings_shapes_test.cpp
+++ b/tests/node/settings_shapes_test.cpp
@@ -63,12 +63,12 @@
     const SettingsCase& settings_case = GetParam();
     Loop loop;
     Log log{"error", "json", "", 1 << 20, 1};
-    standin::Platform platform(loop, {});
-    platform.add("p1", Role::reader, "z", 1);
-    platform.add("d1", Role::writer, "z", 1);
-    platform.discovery_is_silent(true);
+    fake_server::FakePlatform platform(loop, {});
+    platform.add("p1", Role::prefill, "z", 1);
+    platform.add("d1", Role::decode, "z", 1);
+    platform.set_discovery_silent(true);
     const std::string known =
-        replaced(replaced(platform.list(), R"("type":"reader")",
+        replaced(replaced(platform.list_json(), R"("type":"reader")",
                           std::string(R"("type":")") + settings_case.prefill_kind + "\""),
                  R"("type":"writer")", std::string(R"("type":")") + settings_case.decode_kind + "\"");
     Node node(loop, terms_for(platform.discovery().text(), known, 256, settings_case.settings), log);
@@ -77,7 +77,7 @@
         for (const std::string& tenant : settings_case.tenants) {
             Client client(loop, node.address());
             const std::string body = R"({"messages":[{"role":"user","content":"hello there"}]})";
-            client.say(
+            client.send(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: r" + std::to_string(n++) +
                 "\r\nX-Service-Class: " + service_class + "\r\nX-Account: " + tenant +
                 "\r\nX-Session-Key: s\r\nX-Time-Left-Ms: 2000\r\nX-Facts: prompt_len=9,max_out=50\r\n" +
@@ -91,7 +91,7 @@
             EXPECT_TRUE(client.is_complete()) << service_class << " of " << tenant << ": " << client.received;
         }
     }
-    EXPECT_EQ(node.desk().tally().settled, static_cast<std::uint64_t>(n));
+    EXPECT_EQ(node.dispatcher().counters().completed, static_cast<std::uint64_t>(n));
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/node/shutdown_test.cpp
+++ b/tests/node/shutdown_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Runs the loop until the gateway stops it, and returns how long that took.
-Span run_to_exit(GatewayFixture& fixture) {
+Duration run_to_exit(GatewayFixture& fixture) {
     const Instant start = fixture.loop.now();
     Timer timeout(fixture.loop, [] { FAIL() << "the gateway does not exit"; });
     timeout.set(ms(20000));
@@ -19,18 +19,18 @@
     RawClient client(fixture.node->address());
     const std::string text = fixture.request_text(fixture.new_request_id());
     const std::size_t head_end = text.find("\r\n\r\n") + 4;
-    client.say(text.substr(0, head_end));
+    client.send(text.substr(0, head_end));
     fixture.run_for(ms(20));
     fixture.node->stop();
     fixture.run_for(ms(50));
-    client.say(text.substr(head_end));
+    client.send(text.substr(head_end));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     fixture.decode.send(fixture.wait_for_post(fixture.decode, 1), whole_stream("whole"));
     fixture.wait_until("the answer",
-                       [&] { return client.heard().find("\r\n0\r\n\r\n") != std::string::npos; });
+                       [&] { return client.received().find("\r\n0\r\n\r\n") != std::string::npos; });
     fixture.wait_until("the end of the connection", [&] { return client.has_ended(); });
     EXPECT_FALSE(client.was_reset());
-    EXPECT_NE(client.heard().find("Connection: close"), std::string::npos);
+    EXPECT_NE(client.received().find("Connection: close"), std::string::npos);
 }
 
 // The first request on a connection has to be answered, even if it is not read yet when the shutdown starts.
@@ -38,12 +38,12 @@
     ScriptedGatewayFixture fixture;
     RawClient client(fixture.node->address());
     fixture.wait_until("the connection is accepted", [&] { return fixture.node->clients().size() == 1; });
-    client.say(fixture.request_text(fixture.new_request_id()));
+    client.send(fixture.request_text(fixture.new_request_id()));
     fixture.node->stop();
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     fixture.decode.send(fixture.wait_for_post(fixture.decode, 1), whole_stream("whole"));
     fixture.wait_until("the answer",
-                       [&] { return client.heard().find("\r\n0\r\n\r\n") != std::string::npos; });
+                       [&] { return client.received().find("\r\n0\r\n\r\n") != std::string::npos; });
 }
 
 // The same at the second step of the shutdown, when connections that have sent no request are closed.
@@ -56,7 +56,7 @@
         fixture.run_for(ms(after));
         bool ended = false;
         if (client.receive(ended) < 0 || ended) continue;
-        client.say(fixture.request_text(fixture.new_request_id()));
+        client.send(fixture.request_text(fixture.new_request_id()));
         // Either the request is served, or it is not read and nothing is sent for it.
         bool served = false;
         fixture.wait_until("the request is served or its connection is closed", [&] {
@@ -70,7 +70,7 @@
         fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
         fixture.decode.send(fixture.wait_for_post(fixture.decode, 1), whole_stream("whole"));
         fixture.wait_until("the answer",
-                           [&] { return client.heard().find("\r\n0\r\n\r\n") != std::string::npos; });
+                           [&] { return client.received().find("\r\n0\r\n\r\n") != std::string::npos; });
     }
 }
 
@@ -79,10 +79,10 @@
 TEST(Shutdown, RequestThatCrossesTheCloseOfAnIdleConnectionIsNotSentUnanswered) {
     ScriptedGatewayFixture fixture;
     RawClient client(fixture.node->address());
-    client.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    fixture.wait_until("ready", [&] { return !client.heard().empty(); });
+    client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    fixture.wait_until("ready", [&] { return !client.received().empty(); });
     fixture.node->stop();
-    client.say(fixture.request_text(fixture.new_request_id()));
+    client.send(fixture.request_text(fixture.new_request_id()));
     fixture.wait_until("the end of the connection",
                        [&] { return client.has_ended() || fixture.prefill.count("POST") > 0; });
     EXPECT_EQ(fixture.prefill.count("POST"), 0u);
@@ -104,16 +104,17 @@
     std::unique_ptr<StalledListener> stalled;
     if (stage == Stage::connecting) {
         stalled = std::make_unique<StalledListener>();
-        fixture.platform.point("r1", stalled->address());
+        fixture.platform.set_address("r1", stalled->address());
         fixture.wait_for_list();
     }
     if (stage == Stage::queued) {
-        fixture.platform.set("r1", "draining");
+        fixture.platform.set_status("r1", "draining");
         fixture.wait_for_list();
     }
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "5000"));
-    fixture.wait_until("the request is open", [&] { return fixture.node->desk().open_queries() == 1; });
+    client->send(fixture.request_text(fixture.new_request_id(), "5000"));
+    fixture.wait_until("the request is open",
+                       [&] { return fixture.node->dispatcher().open_requests() == 1; });
     bool stopped = false;
     const auto stop_at = [&](Stage now) {
         if (now != stage) return;
@@ -124,13 +125,13 @@
     stop_at(Stage::queued);
     stop_at(Stage::connecting);
     if (stage == Stage::queued) {
-        fixture.platform.set("r1", "up");
+        fixture.platform.set_status("r1", "up");
     }
     if (stage == Stage::connecting) {
         fixture.wait_until("the attempt waits for its connection",
                            [&] { return fixture.node->upstreams().attempts() == 1; });
         // The server comes back at another address: the waiting attempt was never sent and goes there.
-        fixture.platform.point("r1", fixture.prefill.address());
+        fixture.platform.set_address("r1", fixture.prefill.address());
     }
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     stop_at(Stage::in_prefill);
@@ -145,7 +146,7 @@
     fixture.wait_until("the answer", [&] { return client->is_complete(); });
     fixture.wait_until("the connection is closed", [&] { return client->closed; });
     EXPECT_TRUE(stopped);
-    EXPECT_EQ(client->close_reason, Closing::peer_ended);
+    EXPECT_EQ(client->close_reason, CloseReason::peer_closed);
     EXPECT_LT(run_to_exit(fixture), ms(4000));
 }
 
@@ -158,13 +159,13 @@
 TEST(Shutdown, BadClientsAndHungServersDoNotDelayTheExit) {
     ScriptedGatewayFixture fixture;
     RawClient half(fixture.node->address()), silent(fixture.node->address()), stays(fixture.node->address());
-    half.say(fixture.request_text(fixture.new_request_id()).substr(0, 40));
-    stays.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    half.send(fixture.request_text(fixture.new_request_id()).substr(0, 40));
+    stays.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     auto hanging = fixture.client();
-    hanging->say(fixture.request_text(fixture.new_request_id(), "900"));
+    hanging->send(fixture.request_text(fixture.new_request_id(), "900"));
     fixture.wait_for_post(fixture.prefill, 1);
     auto served = fixture.client();
-    served->say(fixture.request_text(fixture.new_request_id()));
+    served->send(fixture.request_text(fixture.new_request_id()));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 2);
     fixture.node->stop();
     fixture.prefill.send(prefill_connection, prefill_response());
@@ -179,11 +180,12 @@
 TEST(Shutdown, ReleasesAreSentBeforeTheExit) {
     ScriptedGatewayFixture fixture;
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id()));
+    client->send(fixture.request_text(fixture.new_request_id()));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     fixture.node->stop();
-    client->leave();
-    fixture.wait_until("the disconnect is noticed", [&] { return fixture.node->desk().open_queries() == 0; });
+    client->disconnect();
+    fixture.wait_until("the disconnect is noticed",
+                       [&] { return fixture.node->dispatcher().open_requests() == 0; });
     (void)prefill_connection;
     run_to_exit(fixture);
     EXPECT_GE(fixture.prefill.count("DELETE") + fixture.decode.count("DELETE"), 1u);
@@ -196,11 +198,11 @@
     const auto decode_connection = fixture.advance_to_decode(*client);
     fixture.node->stop();
     fixture.platform.move_discovery();
-    fixture.node->change(terms_for(fixture.platform.discovery().text(), fixture.platform.list(), 256));
-    fixture.platform.set("r1", "draining");
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.node->change(terms_for(fixture.platform.discovery().text(), fixture.platform.list_json(), 256));
+    fixture.platform.set_status("r1", "draining");
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.wait_until(
-        "the list of the new address is applied", [&] { return fixture.node->knows("w9"); }, ms(1000));
+        "the list of the new address is applied", [&] { return fixture.node->has_server("w9"); }, ms(1000));
     fixture.decode.send(decode_connection, whole_stream("whole"));
     fixture.wait_until("the answer", [&] { return client->is_complete(); });
 }
@@ -212,12 +214,12 @@
 TEST(Close, AnswerIsSentBeforeTheCloseThoughTheTableIsFull) {
     ScriptedGatewayFixture fixture(kSettings, 64);
     RawClient client(fixture.node->address());
-    client.say(fixture.request_text(fixture.new_request_id(), "2000", "Connection: close\r\n"));
+    client.send(fixture.request_text(fixture.new_request_id(), "2000", "Connection: close\r\n"));
     const auto prefill_connection = fixture.wait_for_post(fixture.prefill, 1);
     std::vector<std::unique_ptr<RawClient>> bad_clients;
     for (int n = 0; n < 40; ++n) {
         bad_clients.push_back(std::make_unique<RawClient>(fixture.node->address()));
-        bad_clients.back()->say("nonsense\r\n\r\n");
+        bad_clients.back()->send("nonsense\r\n\r\n");
     }
     fixture.wait_until("the closed connections linger",
                        [&] { return fixture.node->clients().size() + fixture.loop.adopted() >= 10; });
@@ -225,7 +227,7 @@
     const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
     fixture.decode.send(decode_connection, whole_stream("whole"));
     fixture.wait_until("the end of the connection", [&] { return client.has_ended() || client.was_reset(); });
-    EXPECT_NE(client.heard().find("\r\n0\r\n\r\n"), std::string::npos);
+    EXPECT_NE(client.received().find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
 // The server has finished, the client reads slowly, and dozens of new connections compete for its place in
@@ -233,14 +235,14 @@
 TEST(Close, AnswerQueuedForASlowClientIsCompleteDespiteManyNewConnections) {
     ScriptedGatewayFixture fixture(kSettings, 64);
     RawClient client(fixture.node->address(), RawClient::Buffers::small);
-    client.say(fixture.request_text(fixture.new_request_id(), "2000", "Connection: close\r\n"));
+    client.send(fixture.request_text(fixture.new_request_id(), "2000", "Connection: close\r\n"));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     const auto decode_connection = fixture.wait_for_post(fixture.decode, 1);
     fixture.decode.send(decode_connection, stream_start());
     for (int n = 0; n < 55; ++n) fixture.decode.send(decode_connection, event_of(std::string(1000, 'x')));
     fixture.decode.send(decode_connection, stream_end());
     fixture.wait_until("only the client delays the answer", [&] {
-        return fixture.node->desk().open_queries() == 0 && fixture.loop.adopted() == 1;
+        return fixture.node->dispatcher().open_requests() == 0 && fixture.loop.adopted() == 1;
     });
     std::vector<std::unique_ptr<RawClient>> other_clients;
     for (int n = 0; n < 60; ++n) {
@@ -249,7 +251,7 @@
     }
     fixture.wait_until("the end of the connection", [&] { return client.has_ended() || client.was_reset(); });
     EXPECT_FALSE(client.was_reset());
-    EXPECT_NE(client.heard().find("\r\n0\r\n\r\n"), std::string::npos);
+    EXPECT_NE(client.received().find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
 TEST(Close, RefusalIsSentBeforeTheCloseThoughTheTableIsFull) {
@@ -260,9 +262,9 @@
         bad_clients.push_back(std::make_unique<RawClient>(fixture.node->address()));
     }
     fixture.wait_until("the connections are accepted", [&] { return fixture.node->clients().size() >= 12; });
-    for (const auto& client : bad_clients) client->say("nonsense\r\n\r\n");
+    for (const auto& client : bad_clients) client->send("nonsense\r\n\r\n");
     fixture.run_for(ms(300));
-    for (const auto& client : bad_clients) answered += client->heard().find("HTTP/1.1 400") == 0;
+    for (const auto& client : bad_clients) answered += client->received().find("HTTP/1.1 400") == 0;
     EXPECT_EQ(answered, bad_clients.size());
 }
 
@@ -276,7 +278,7 @@
     fixture.wait_until("the stream has begun", [&] { return client->status() == 200; });
     fixture.node->stop();
     fixture.run_for(ms(800));
-    client->say(fixture.request_text(fixture.new_request_id()));
+    client->send(fixture.request_text(fixture.new_request_id()));
     fixture.run_for(ms(100));
     fixture.decode.send(streaming, stream_end());
     fixture.wait_until("both answers", [&] { return client->response_count() == 2; });
--- a/tests/node/streams_test.cpp
+++ b/tests/node/streams_test.cpp
@@ -7,13 +7,13 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kMaxEventDelay = ms(300);
+constexpr Duration kMaxEventDelay = ms(300);
 
 // Sends events one at a time, each after the client has received the one before; returns the longest delay of
 // an event.
-Span longest_delay(ScriptedGatewayFixture& fixture, ScriptedGatewayFixture::Connection decode_connection,
-                   Client& client, int events) {
-    Span longest;
+Duration longest_delay(ScriptedGatewayFixture& fixture, ScriptedGatewayFixture::Connection decode_connection,
+                       Client& client, int events) {
+    Duration longest;
     for (int n = 0; n < events; ++n) {
         const std::string content = "event-" + std::to_string(n) + "-";
         const Instant sent = fixture.loop.now();
@@ -47,14 +47,14 @@
 // Lists of a hundred servers arrive all the time.
 TEST(Stream, LargeListsDelayNoEvent) {
     ScriptedGatewayFixture fixture;
-    for (int n = 0; n < 100; ++n) fixture.platform.add("many-" + std::to_string(n), Role::writer, "z", n % 7);
-    for (int n = 0; n < 100; ++n) fixture.platform.set("many-" + std::to_string(n), "draining");
+    for (int n = 0; n < 100; ++n) fixture.platform.add("many-" + std::to_string(n), Role::decode, "z", n % 7);
+    for (int n = 0; n < 100; ++n) fixture.platform.set_status("many-" + std::to_string(n), "draining");
     fixture.wait_for_list();
     auto client = fixture.client();
     const auto decode_connection = fixture.advance_to_decode(*client);
-    Span longest;
+    Duration longest;
     for (int n = 0; n < 10; ++n) {
-        fixture.platform.watches_are_reset();
+        fixture.platform.reset_watches();
         const std::string content = "event-" + std::to_string(n) + "-";
         const Instant sent = fixture.loop.now();
         fixture.decode.send(decode_connection, (n == 0 ? stream_start() : "") + event_of(content));
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -5,7 +5,7 @@
 namespace copperfront {
 namespace {
 
-constexpr Span kMaxUpdateDelay = ms(6000);
+constexpr Duration kMaxUpdateDelay = ms(6000);
 
 // Discovery that answers on command. The requests to it are numbered in the order of their arrival.
 struct ScriptedDiscovery : GatewayFixture {
@@ -13,7 +13,8 @@
 
     ScriptedDiscovery() {
         // Starts from the known list, with a discovery agent that does not answer yet.
-        node = std::make_unique<Node>(loop, terms_for(agent.address(), platform.list(), 256, settings), log);
+        node = std::make_unique<Node>(loop, terms_for(agent.address(), platform.list_json(), 256, settings),
+                                      log);
     }
     static std::string entry(const std::string& name, const std::string& status) {
         return R"({"name":")" + name + R"(","address":"127.0.0.1:9","zone":"z","type":"writer","group":1,)" +
@@ -21,7 +22,7 @@
     }
     // The list of the fake platform's servers and of these.
     std::string list(int index, bool whole, const std::string& more) {
-        std::string base = platform.list();
+        std::string base = platform.list_json();
         const std::size_t from = base.find("\"endpoints\":[") + 13;
         base = base.substr(from, base.rfind("]}") - from);
         return R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" + (whole ? "true" : "false") +
@@ -52,7 +53,7 @@
     const ScriptedServer::Request latest = fixture.agent.requests().back();
     const Instant answered_at = fixture.loop.now();
     fixture.answer(latest, fixture.list(7, true, fixture.entry("w9", "up")));
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w9"); });
     EXPECT_LT(fixture.loop.now() - answered_at, ms(100));
 }
 
@@ -66,7 +67,7 @@
                        [&] { return fixture.request_count() > requests_before; });
     EXPECT_FALSE(fixture.is_watch(fixture.agent.requests().back()));
     fixture.answer(fixture.agent.requests().back(), fixture.list(8, true, fixture.entry("w9", "up")));
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w9"); });
     EXPECT_LT(fixture.loop.now() - silent_from, kMaxUpdateDelay);
     (void)watch;
 }
@@ -78,7 +79,7 @@
     const ScriptedServer::Request watch = fixture.next_watch(0);
     fixture.answer(watch, fixture.list(5, false, fixture.entry("w9", "removed")));
     fixture.run_for(ms(100));
-    EXPECT_TRUE(fixture.node->knows("w9"));
+    EXPECT_TRUE(fixture.node->has_server("w9"));
 }
 
 // Updates between the end of an abandoned request and the next request are covered by requesting the whole
@@ -105,9 +106,9 @@
     fixture.agent.close(watch.connection);
     fixture.wait_until("the list is requested again",
                        [&] { return fixture.request_count() > requests_before; });
-    EXPECT_FALSE(fixture.node->knows("w9"));
+    EXPECT_FALSE(fixture.node->has_server("w9"));
     fixture.answer(fixture.agent.requests().back(), fixture.list(8, true, fixture.entry("w9", "up")));
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w9"); });
 }
 
 // Guards against a list that stops in the middle and blocks the next request.
@@ -118,7 +119,7 @@
     const Instant stopped = fixture.loop.now();
     fixture.wait_until("the next request", [&] { return fixture.request_count() >= 2; });
     fixture.answer(fixture.agent.requests().back(), fixture.list(8, true, fixture.entry("w8", "up")));
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w8"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w8"); });
     EXPECT_LT(fixture.loop.now() - stopped, ms(2000));
 }
 
@@ -139,7 +140,7 @@
     ASSERT_GT(fixture.request_count(), requests_before);
     EXPECT_LT(fixture.loop.now() - began, ms(3500));
     fixture.answer(fixture.agent.requests().back(), fixture.list(8, true, fixture.entry("w9", "up")));
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w9"); });
 }
 
 // Guards against several concurrent list requests whose results are not needed.
@@ -153,7 +154,7 @@
         fixture.agent.send(latest.connection, text.substr(at, text.size() / 15));
         fixture.run_for(ms(100));
     }
-    fixture.wait_until("the new server is in the list", [&] { return fixture.node->knows("w9"); });
+    fixture.wait_until("the new server is in the list", [&] { return fixture.node->has_server("w9"); });
     EXPECT_LE(fixture.request_count() - requests_before, 4u) << "in 1.5 s, including the watch that follows";
 }
 
@@ -167,11 +168,11 @@
     const std::size_t first = text.find("w8");
     fixture.agent.send(watch.connection, text.substr(0, first));
     fixture.wait_until(
-        "the server is removed from the list", [&] { return !fixture.node->knows("w9"); }, ms(500));
-    EXPECT_FALSE(fixture.node->knows("w8"));
+        "the server is removed from the list", [&] { return !fixture.node->has_server("w9"); }, ms(500));
+    EXPECT_FALSE(fixture.node->has_server("w8"));
     fixture.agent.send(watch.connection, text.substr(first));
-    fixture.wait_until("the rest of the list is applied", [&] { return fixture.node->knows("w8"); });
-    EXPECT_FALSE(fixture.node->knows("w9"));
+    fixture.wait_until("the rest of the list is applied", [&] { return fixture.node->has_server("w8"); });
+    EXPECT_FALSE(fixture.node->has_server("w9"));
 }
 
 TEST(Watch, IndentedListInOneBytePiecesIsRead) {
@@ -186,9 +187,9 @@
     fixture.wait_until("the new server is in the list", [&] {
         for (int n = 0; n < 40 && sent < text.size(); ++n) {
             fixture.agent.send(first.connection, text.substr(sent++, 1));
-            fixture.run_for(Span{0});
+            fixture.run_for(Duration{0});
         }
-        return fixture.node->knows("w9");
+        return fixture.node->has_server("w9");
     });
     EXPECT_EQ(sent, text.size());
 }
@@ -203,25 +204,25 @@
     ScriptedGatewayFixture fixture(
         with_setting(kSettings, R"("connect-timeout-ms":250)", R"("connect-timeout-ms":5000)"));
     StalledListener stalled;
-    fixture.platform.point("w1", stalled.address());
+    fixture.platform.set_address("w1", stalled.address());
     fixture.wait_for_list();
     auto client = fixture.client();
-    client->say(fixture.request_text(fixture.new_request_id(), "4000"));
+    client->send(fixture.request_text(fixture.new_request_id(), "4000"));
     fixture.prefill.send(fixture.wait_for_post(fixture.prefill, 1), prefill_response());
     fixture.wait_until("the attempt waits for its connection",
-                       [&] { return fixture.node->desk().tally().writes == 1; });
-    fixture.platform.add("w2", Role::writer, "z", 1);
-    fixture.platform.point("w2", fixture.decode.address());
+                       [&] { return fixture.node->dispatcher().counters().decodes == 1; });
+    fixture.platform.add("w2", Role::decode, "z", 1);
+    fixture.platform.set_address("w2", fixture.decode.address());
     switch (GetParam()) {
         case Withdrawal::draining:
-            fixture.platform.set("w1", "draining");
+            fixture.platform.set_status("w1", "draining");
             break;
         case Withdrawal::removed:
-            fixture.platform.set("w1", "removed");
+            fixture.platform.set_status("w1", "removed");
             break;
         case Withdrawal::omitted:
-            fixture.platform.watches_are_reset();
-            fixture.platform.set("w1", "removed");
+            fixture.platform.reset_watches();
+            fixture.platform.set_status("w1", "removed");
             break;
     }
     fixture.decode.send(fixture.wait_for_post(fixture.decode, 1), whole_stream("whole"));
@@ -237,26 +238,26 @@
 // Discovery answers again at the moment when new settings name another address.
 TEST(Watch, DiscoveryReturnsWhenSettingsChange) {
     GatewayFixture fixture;
-    fixture.platform.discovery_is_silent(true);
+    fixture.platform.set_discovery_silent(true);
     fixture.run_for(ms(300));
-    standin::Platform other(fixture.loop, {});
-    other.add("r1", Role::reader, "z", 1);
-    other.add("w9", Role::writer, "z", 1);
-    fixture.platform.discovery_is_silent(false);
-    fixture.node->change(terms_for(other.discovery().text(), fixture.platform.list(), 256));
+    fake_server::FakePlatform other(fixture.loop, {});
+    other.add("r1", Role::prefill, "z", 1);
+    other.add("w9", Role::decode, "z", 1);
+    fixture.platform.set_discovery_silent(false);
+    fixture.node->change(terms_for(other.discovery().text(), fixture.platform.list_json(), 256));
     fixture.wait_until(
-        "the list of the new address is applied", [&] { return fixture.node->knows("w9"); }, ms(4000));
-    EXPECT_FALSE(fixture.node->knows("w1")) << "the new list does not contain it";
+        "the list of the new address is applied", [&] { return fixture.node->has_server("w9"); }, ms(4000));
+    EXPECT_FALSE(fixture.node->has_server("w1")) << "the new list does not contain it";
 }
 
 // Settings with an invalid discovery address keep the old one in use.
 TEST(Watch, InvalidAddressInNewSettingsKeepsTheOldOne) {
     GatewayFixture fixture;
     fixture.run_for(ms(30));
-    fixture.node->change(terms_for("nowhere", fixture.platform.list(), 256));
-    fixture.platform.add("w9", Role::writer, "z", 1);
+    fixture.node->change(terms_for("nowhere", fixture.platform.list_json(), 256));
+    fixture.platform.add("w9", Role::decode, "z", 1);
     fixture.wait_until(
-        "the list of the old address is applied", [&] { return fixture.node->knows("w9"); }, ms(1000));
+        "the list of the old address is applied", [&] { return fixture.node->has_server("w9"); }, ms(1000));
 }
 
 }  // namespace
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -51,19 +51,20 @@
         return std::string(name) == "ROUTER_DISCOVERY" ? "127.0.0.1:9" : "else";
     });
     assert(t.name == "n1" && t.listen == "127.0.0.1:0" && t.discovery == "127.0.0.1:9");
-    assert(t.memory_mb == 64 && t.sockets == 256);
+    assert(t.memory_mb == 64 && t.max_descriptors == 256);
     assert(t.core.gateways == 3 && t.core.zone == 1 && t.core.kinds.size() == 2);
-    assert(t.core.kinds[0].role == Role::reader && t.core.kinds[1].memory_tokens == 2000);
+    assert(t.core.kinds[0].role == Role::prefill && t.core.kinds[1].memory_tokens == 2000);
     assert(t.core.categories[0].latency_goal.us == 1500000 && t.core.categories[0].stream);
     assert(t.core.categories[0].token_gap.us == 60000 && t.core.categories[0].goal_per_thousand.us == 40000);
-    assert(t.core.max_attempts == 6 && t.core.max_stay_away.us == 1000000 && t.core.cancel && !t.core.probes);
-    assert(t.core.warm_within.us == 14000000 && t.core.quantum.us == 4000);
-    assert(t.links.idle.us == 15000000 && t.core.connect_within.us == 250000 &&
-           t.links.longest_deadline.us == 6000000);
-    const News known = read_known_list(t);
-    assert(known.whole && known.index == 41 && known.entries.size() == 2);
-    assert(known.entries[0].born.us == 1700000000123000 && known.entries[0].cell == "3");
-    assert(known.entries[1].standing == Standing::draining);
+    assert(t.core.max_attempts == 6 && t.core.max_retry_after.us == 1000000 && t.core.cancel &&
+           !t.core.probes);
+    assert(t.core.warm_up_time.us == 14000000 && t.core.quantum.us == 4000);
+    assert(t.connection_settings.idle_timeout.us == 15000000 && t.core.connect_timeout.us == 250000 &&
+           t.connection_settings.longest_deadline.us == 6000000);
+    const ServerListUpdate known = read_known_list(t);
+    assert(known.is_snapshot && known.index == 41 && known.entries.size() == 2);
+    assert(known.entries[0].started_at.us == 1700000000123000 && known.entries[0].cell == "3");
+    assert(known.entries[1].status == ServerStatus::draining);
 }
 
 void malformed_files_are_rejected_with_a_reason() {
@@ -94,28 +95,28 @@
 
 void a_reload_may_append_names_but_not_change_them() {
     const NodeTerms now = read_node_terms(configuration(), empty_environment);
-    assert(stands_against(now, now).empty());
+    assert(reload_conflict(now, now).empty());
     std::string grown = kSettings, swapped = kSettings, roles = kSettings;
     grown.replace(grown.find(R"("realms":[)"), 10,
                   R"("realms":[{"name":"acme","quota-per-s":9},{"name":"x"}],"r":[)");
-    assert(stands_against(now, read_node_terms(configuration(grown), empty_environment)).empty());
+    assert(reload_conflict(now, read_node_terms(configuration(grown), empty_environment)).empty());
     swapped.replace(swapped.find(R"("models":["r","w"])"), 18, R"("models":["w","r"])");
-    assert(!stands_against(now, read_node_terms(configuration(swapped), empty_environment)).empty());
+    assert(!reload_conflict(now, read_node_terms(configuration(swapped), empty_environment)).empty());
     roles.replace(roles.find(R"(["read","write"])"), 16, R"(["write","read"])");
-    assert(!stands_against(now, read_node_terms(configuration(roles), empty_environment)).empty());
+    assert(!reload_conflict(now, read_node_terms(configuration(roles), empty_environment)).empty());
 }
 
 // Parses the list in pieces of `piece` bytes.
-News read_list(std::string_view text, std::size_t piece) {
-    ListReader reader;
+ServerListUpdate read_list(std::string_view text, std::size_t piece) {
+    ServerListReader reader;
     for (std::size_t at = 0; at < text.size(); at += piece) reader.take(text.substr(at, piece));
     return reader.finish();
 }
 
 void malformed_lists_are_rejected_as_a_whole() {
     const char* const kRemoved = R"({"index":2,"endpoints":[{"name":"a","status":"removed"}]})";
-    const News removed = read_list(kRemoved, 1000);
-    assert(!removed.whole && removed.entries[0].standing == Standing::gone);
+    const ServerListUpdate removed = read_list(kRemoved, 1000);
+    assert(!removed.is_snapshot && removed.entries[0].status == ServerStatus::removed);
     for (const char* bad :
          {"",
           "[]",
@@ -161,11 +162,11 @@
     { "name" : "b\"{", "status" : "draining", "address" : "1.2.3.4:6", "since_ms" : 7 } ],
   "snapshot" : true, "index" : 9 } )";
     for (std::size_t piece = 1; piece <= text.size(); ++piece) {
-        const News news = read_list(text, piece);
-        assert(news.index == 9 && news.whole && news.entries.size() == 2);
+        const ServerListUpdate news = read_list(text, piece);
+        assert(news.index == 9 && news.is_snapshot && news.entries.size() == 2);
         assert(news.entries[0].name == "a]}" && news.entries[0].cell == "3");
-        assert(news.entries[1].name == "b\"{" && news.entries[1].standing == Standing::draining);
-        assert(news.entries[1].born.us == 7000);
+        assert(news.entries[1].name == "b\"{" && news.entries[1].status == ServerStatus::draining);
+        assert(news.entries[1].started_at.us == 7000);
     }
 }
 
@@ -199,31 +200,32 @@
 }
 
 void headers_are_parsed_into_request_facts() {
-    const Named names = read_node_terms(configuration(), empty_environment).named;
-    Call request;
-    assert(read_call(head_of(kRequestHeaders), kBody, names, request).empty());
-    assert(request.id == "9b1f" && request.facts.category == 0 && request.facts.client_group == 0 &&
-           !request.again);
-    assert(request.facts.budget.us == 4800000 && request.facts.hint.us == 1500);
-    assert(request.facts.prompt_tokens == 20 && request.facts.beginning_tokens == 8 &&
-           request.facts.most_tokens == 800);
-    assert(request.facts.session == mark("7f3a") && request.facts.beginning == mark("5c0f"));
+    const SettingNames names = read_node_terms(configuration(), empty_environment).names;
+    ClientRequest request;
+    assert(read_client_request(head_of(kRequestHeaders), kBody, names, request).empty());
+    assert(request.id == "9b1f" && request.info.category == 0 && request.info.client_group == 0 &&
+           !request.is_repeat);
+    assert(request.info.time_budget.us == 4800000 && request.info.duration_hint.us == 1500);
+    assert(request.info.prompt_tokens == 20 && request.info.shared_prefix_tokens == 8 &&
+           request.info.max_output_tokens == 800);
+    assert(request.info.session == hash_of("7f3a") && request.info.shared_prefix == hash_of("5c0f"));
     // An account that is not in the settings has no client group; a prompt without a shared prefix has none.
-    assert(read_call(head_of(with_header("X-Account", "unheard")), kBody, names, request).empty());
-    assert(request.facts.client_group == -1);
+    assert(read_client_request(head_of(with_header("X-Account", "unheard")), kBody, names, request).empty());
+    assert(request.info.client_group == -1);
     assert(
-        read_call(head_of(with_header("X-Facts", "prompt_len=20,max_out=8")), kBody, names, request).empty());
-    assert(request.facts.beginning == 0 && request.facts.beginning_tokens == 0);
+        read_client_request(head_of(with_header("X-Facts", "prompt_len=20,max_out=8")), kBody, names, request)
+            .empty());
+    assert(request.info.shared_prefix == 0 && request.info.shared_prefix_tokens == 0);
     Fields repeat = kRequestHeaders;
     repeat.emplace_back("X-Repeat", "1");
-    assert(read_call(head_of(repeat), kBody, names, request).empty() && request.again);
+    assert(read_client_request(head_of(repeat), kBody, names, request).empty() && request.is_repeat);
 }
 
 void malformed_requests_are_rejected_with_a_reason() {
-    const Named names = read_node_terms(configuration(), empty_environment).named;
-    Call request;
+    const SettingNames names = read_node_terms(configuration(), empty_environment).names;
+    ClientRequest request;
     for (const char* name : {"X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms", "X-Facts"})
-        assert(read_call(head_of(without_header(name)), kBody, names, request).find(name) !=
+        assert(read_client_request(head_of(without_header(name)), kBody, names, request).find(name) !=
                std::string::npos);
     const std::pair<const char*, const char*> bad[] = {{"X-Correlation-Id", ""},
                                                        {"X-Correlation-Id", "a/b"},
@@ -245,24 +247,26 @@
                                                        {"X-Facts", "prompt_len=2,prompt_len=3"},
                                                        {"X-Facts", "prompt_len=2,prefix_len=3"}};
     for (const auto& [name, value] : bad) {
-        const std::string error_text = read_call(head_of(with_header(name, value)), kBody, names, request);
+        const std::string error_text =
+            read_client_request(head_of(with_header(name, value)), kBody, names, request);
         if (error_text.find(name) == std::string::npos)
             std::fprintf(stderr, "%s: %s: unexpected error text: %s\n", name, value, error_text.c_str());
         assert(error_text.find(name) != std::string::npos);
     }
-    assert(!read_call(head_of(with_header("X-Correlation-Id", std::string(200, 'a').c_str())), kBody, names,
-                      request)
+    assert(!read_client_request(head_of(with_header("X-Correlation-Id", std::string(200, 'a').c_str())),
+                                kBody, names, request)
                 .empty());
     Fields twice = kRequestHeaders;
     twice.emplace_back("X-Correlation-Id", "other");
-    assert(!read_call(head_of(twice), kBody, names, request).empty());
+    assert(!read_client_request(head_of(twice), kBody, names, request).empty());
     // A model server would close its connection on these bodies.
     for (const std::string body : {"", "hello", "[]", "{}", R"({"messages":)", R"({"messages":[]} x)",
                                    "{\"messages\":[\"\xff\xfe\"]}"})
-        assert(!read_call(head_of(with_header("X-Facts", "prompt_len=0")), body, names, request).empty());
+        assert(!read_client_request(head_of(with_header("X-Facts", "prompt_len=0")), body, names, request)
+                    .empty());
     std::string deep = R"({"messages":)";
     for (int n = 0; n < 5000; ++n) deep += '[';
-    assert(!read_call(head_of(kRequestHeaders), deep, names, request).empty());
+    assert(!read_client_request(head_of(kRequestHeaders), deep, names, request).empty());
 }
 
 http::Head response(int status, const Fields& fields = {}) {
@@ -273,25 +277,25 @@
 
 void responses_are_mapped_to_outcomes() {
     const Fields unprocessed = {{"x-unprocessed", "1"}};
-    const Outcome prefill = outcome_of(response(202), R"({"cached_tokens":4096})", true);
-    assert(prefill.ending == Ending::read && prefill.kept_tokens == 4096);
-    assert(outcome_of(response(202), "{", true).ending == Ending::read);
-    assert(outcome_of(response(202), R"({"cached_tokens":"x"})", true).kept_tokens == 0);
+    const AttemptOutcome prefill = outcome_of(response(202), R"({"cached_tokens":4096})", true);
+    assert(prefill.ending == Ending::prefilled && prefill.cached_tokens == 4096);
+    assert(outcome_of(response(202), "{", true).ending == Ending::prefilled);
+    assert(outcome_of(response(202), R"({"cached_tokens":"x"})", true).cached_tokens == 0);
     assert(outcome_of(response(202), R"({"cached_tokens":4096})", false).ending == Ending::error);
-    assert(outcome_of(response(503, unprocessed), "", true).ending == Ending::full);
-    assert(outcome_of(response(504, unprocessed), "", false).ending == Ending::full);
-    assert(!outcome_of(response(503, unprocessed), "", false).no_state);
+    assert(outcome_of(response(503, unprocessed), "", true).ending == Ending::refused);
+    assert(outcome_of(response(504, unprocessed), "", false).ending == Ending::refused);
+    assert(!outcome_of(response(503, unprocessed), "", false).state_missing);
     // Without the X-Unprocessed header the request may have run.
     for (const int status : {200, 400, 404, 410, 500, 503, 504})
         assert(outcome_of(response(status), "", false).ending == Ending::error);
-    const Outcome no_state = outcome_of(response(410, unprocessed), "", false);
-    assert(no_state.ending == Ending::full && no_state.no_state);
+    const AttemptOutcome state_missing = outcome_of(response(410, unprocessed), "", false);
+    assert(state_missing.ending == Ending::refused && state_missing.state_missing);
     http::Head stream = response(200, {{"Content-Type", "text/event-stream; charset=utf-8"}});
-    assert(!begins_stream(stream));
+    assert(!starts_event_stream(stream));
     stream.chunked = true;
-    assert(begins_stream(stream));
+    assert(starts_event_stream(stream));
     stream.status = 206;
-    assert(!begins_stream(stream));
+    assert(!starts_event_stream(stream));
 }
 
 void streams_are_split_into_complete_events() {
@@ -299,7 +303,7 @@
         "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n: a comment\n\ndata: "
         "{\"choices\":[]}\r\n\r\ndata: [DONE]\n\n";
     for (std::size_t step = 1; step <= good.size(); ++step) {
-        Events events;
+        EventStreamParser events;
         std::string out, piece;
         std::size_t count = 0, all = 0;
         for (std::size_t at = 0; at < good.size(); at += step) {
@@ -314,19 +318,19 @@
     // The first event counts; malformed input after it does not, nor does anything after the end.
     for (const char* malformed : {"data: {}\n\n1a\r\ndata: {}\n\n", "data: {}\n\nnoise\n\n",
                                   "data: {}\n\ndata: x\n\n", "data: {}\n\ndata: {\"cut\n\n"}) {
-        Events events;
+        EventStreamParser events;
         assert(!events.take(malformed, piece, count));
         assert(piece == "data: {}\n\n" && count == 1);
     }
-    Events completed;
+    EventStreamParser completed;
     assert(completed.take("data: [DONE]\n\n", piece, count) && completed.finished());
     assert(!completed.take("data: {}\n\n", piece, count));
-    Events endless;
+    EventStreamParser endless;
     bool valid = true;
     for (int n = 0; n < 100 && valid; ++n)
         valid = endless.take("data: " + std::string(1000, 'a'), piece, count);
     assert(!valid);
-    Events unterminated;
+    EventStreamParser unterminated;
     assert(unterminated.take("data: [DONE]\n", piece, count) && !unterminated.finished());
 }
 
--- a/tests/routes/routes_test.cpp
+++ b/tests/routes/routes_test.cpp
@@ -17,10 +17,10 @@
     routes[3].category = 1;
     routes[3].client_group = 2;
     routes[4].category = 1;
-    routes[4].prompt_over = 1000;
+    routes[4].min_prompt_tokens = 1000;
     routes[5].attributes = {7};
     const RouteTable table(routes);
-    RouteQuery request;
+    RouteRequest request;
     assert(table.find(request) == 0);
     request.category = 1;
     assert(table.find(request) == 1);
@@ -32,7 +32,7 @@
     request.prompt_tokens = 1000;
     assert(table.find(request) == 4);
     request.prompt_tokens = 999;
-    assert((table.all_that_fit(request) == std::vector<std::uint32_t>{1, 5, 0}));
+    assert((table.all_matches(request) == std::vector<std::uint32_t>{1, 5, 0}));
     request.category = kAny;
     request.attributes = {};
     assert(RouteTable(std::vector<RouteMatch>(routes.begin() + 1, routes.end())).find(request) == kAny);
@@ -50,8 +50,9 @@
         match.listener = any(3);
         for (std::uint32_t attribute = 1; attribute < 5; ++attribute)
             if (*rc::gen::inRange(0, 4) == 0) match.attributes.push_back(attribute);
-        if (*rc::gen::arbitrary<bool>()) match.prompt_over = *rc::gen::inRange(0, 50);
-        if (*rc::gen::arbitrary<bool>()) match.prompt_under = match.prompt_over + *rc::gen::inRange(1, 50);
+        if (*rc::gen::arbitrary<bool>()) match.min_prompt_tokens = *rc::gen::inRange(0, 50);
+        if (*rc::gen::arbitrary<bool>())
+            match.prompt_limit_tokens = match.min_prompt_tokens + *rc::gen::inRange(1, 50);
         return match;
     };
     assert(rc::check("index and scan agree", [&] {
@@ -60,7 +61,7 @@
         for (int n = 0; n < count; ++n) routes.push_back(any_match());
         const RouteTable table(routes);
         for (int n = 0; n < 20; ++n) {
-            RouteQuery request;
+            RouteRequest request;
             request.category = static_cast<std::uint32_t>(*rc::gen::inRange(1, 5));
             request.client_group =
                 *rc::gen::arbitrary<bool>() ? kAny : static_cast<std::uint32_t>(*rc::gen::inRange(1, 5));
@@ -70,7 +71,7 @@
             request.prompt_tokens = *rc::gen::inRange(0, 100);
             const std::uint32_t found = table.find(request);
             RC_ASSERT(found == table.scan(request));
-            const auto all = table.all_that_fit(request);
+            const auto all = table.all_matches(request);
             RC_ASSERT(found == (all.empty() ? kAny : all.front()));
             // No matching route takes precedence over the one found.
             for (const std::uint32_t other : all) {
--- a/tests/rpc/rpc_test.cpp
+++ b/tests/rpc/rpc_test.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-const Message& message(const std::variant<Message, BadMessage>& v) {
+const Message& message(const std::variant<Message, InvalidMessage>& v) {
     assert(std::holds_alternative<Message>(v));
     return std::get<Message>(v);
 }
 
 int code(const std::string& line) {
     const auto v = parse(line);
-    return std::holds_alternative<BadMessage>(v) ? std::get<BadMessage>(v).code : 0;
+    return std::holds_alternative<InvalidMessage>(v) ? std::get<InvalidMessage>(v).code : 0;
 }
 
 void invalid_lines_get_specified_error_codes() {
@@ -41,7 +41,7 @@
 }
 
 std::string error_of(const std::string& params) {
-    const auto v = read_ask(Json::parse(params));
+    const auto v = read_generate_request(Json::parse(params));
     return std::holds_alternative<std::string>(v) ? std::get<std::string>(v) : "";
 }
 
@@ -67,15 +67,16 @@
 void any_bytes_parse_to_a_message_or_an_error() {
     assert(rc::check("bytes", [](const std::string& bytes) { parse(bytes); }));
     assert(rc::check("broken messages", [] {
-        std::string line = order_line(Id{std::int64_t{5}}, kRead,
-                                      {"q", "s", "f", "c", "e", "b", "m", "[1]", 5, 2, 9, Span{1000}});
+        std::string line =
+            attempt_request_line(Id{std::int64_t{5}}, kPrefill,
+                                 {"q", "s", "f", "c", "e", "b", "m", "[1]", 5, 2, 9, Duration{1000}});
         const auto at = *rc::gen::inRange<std::size_t>(0, line.size());
         line[at] = *rc::gen::arbitrary<char>();
         const auto v = parse(line);
         if (const auto* m = std::get_if<Message>(&v)) {
-            read_order(m->body);
-            read_ask(m->body);
-            read_news(m->body);
+            read_attempt_request(m->body);
+            read_generate_request(m->body);
+            read_roster_update(m->body);
             read_hello(m->body);
             read_outcome(*m, true);
         }
@@ -84,24 +85,25 @@
 
 void written_messages_are_read_back() {
     assert(rc::check("requests", [] {
-        Ask request;
+        GenerateRequest request;
         const auto name = rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127));
         request.category = "c" + (*name).substr(0, 100);
         request.session = (*name).substr(0, 100);
-        request.mark = (*name).substr(0, 100);
+        request.idempotency_key = (*name).substr(0, 100);
         request.prompt = R"([{"tokens":70}])";
         request.prompt_tokens = 70;
-        request.most_tokens = *rc::gen::inRange(1, 100000);
-        request.budget = Span{*rc::gen::inRange(1, 1000000) * std::int64_t{1000}};
-        const Message m = message(parse(ask_line(Id{std::string("i\"d")}, request)));
-        assert(m.sort == Sort::call && m.id == Id{std::string("i\"d")});
-        const auto back = read_ask(m.body);
-        RC_ASSERT(std::holds_alternative<Ask>(back));
-        const Ask& read_back = std::get<Ask>(back);
+        request.max_output_tokens = *rc::gen::inRange(1, 100000);
+        request.time_budget = Duration{*rc::gen::inRange(1, 1000000) * std::int64_t{1000}};
+        const Message m = message(parse(generate_request_line(Id{std::string("i\"d")}, request)));
+        assert(m.kind == MessageKind::request && m.id == Id{std::string("i\"d")});
+        const auto back = read_generate_request(m.body);
+        RC_ASSERT(std::holds_alternative<GenerateRequest>(back));
+        const GenerateRequest& read_back = std::get<GenerateRequest>(back);
         RC_ASSERT(read_back.category == request.category && read_back.session == request.session &&
-                  read_back.mark == request.mark && read_back.budget == request.budget);
+                  read_back.idempotency_key == request.idempotency_key &&
+                  read_back.time_budget == request.time_budget);
         RC_ASSERT(read_back.prompt_tokens == request.prompt_tokens &&
-                  read_back.most_tokens == request.most_tokens);
+                  read_back.max_output_tokens == request.max_output_tokens);
     }));
     assert(rc::check("tokens", [](const std::string& text) {
         const Message m = message(parse(tokens_line(Id{std::int64_t{3}}, text)));
@@ -133,14 +135,14 @@
 // counted as completed.
 void a_result_without_its_fields_is_an_error() {
     assert(read_outcome(message(parse(R"({"jsonrpc":"2.0","id":1,"result":{"kept":5}})")), true).ending ==
-           Ending::read);
+           Ending::prefilled);
     assert(read_outcome(message(parse(R"({"jsonrpc":"2.0","id":1,"result":{"kept":5}})")), false).ending ==
            Ending::error);
     assert(read_outcome(message(parse(R"({"jsonrpc":"2.0","id":1,"result":"x"})")), false).ending ==
            Ending::error);
     const auto full =
-        read_outcome(message(parse(full_line(Id{std::int64_t{1}}, true, "x", {0.5, -1}))), false);
-    assert(full.ending == Ending::full && full.no_state && full.report.memory_share == 0.5);
+        read_outcome(message(parse(refused_line(Id{std::int64_t{1}}, true, "x", {0.5, -1}))), false);
+    assert(full.ending == Ending::refused && full.state_missing && full.report.memory_share == 0.5);
 }
 
 }  // namespace
--- a/tests/soak/judge_test.cpp
+++ b/tests/soak/judge_test.cpp
@@ -21,7 +21,7 @@
         request.sent = kStart;
         request.deadline = kStart + 60000 * kMs;
         request.first_byte = request.ended = kStart + 1;
-        request.fate = Fate::failed;
+        request.fate = RequestOutcome::failed;
         records.requests.push_back(request);
         records.ended = kStart + 30000 * kMs;
     }
@@ -31,7 +31,7 @@
         record.event = event;
         record.request = "q";
         record.server = call == 1 ? "prefill-1" : call == 2 ? "decode-1" : "other";
-        record.role = call == 1 ? Role::reader : Role::writer;
+        record.role = call == 1 ? Role::prefill : Role::decode;
         record.call = call;
         records.servers.push_back(record);
         return *this;
@@ -143,7 +143,7 @@
         Records records;
         records.ended = kStart + 10000 * kMs;
         records.stalled.push_back({0, 1, kStart, ended == 0 ? 0 : kStart + ended});
-        return judge(records, {}).well();
+        return judge(records, {}).passed();
     };
     EXPECT_TRUE(well(3000 * kMs));
     EXPECT_FALSE(well(3200 * kMs));
--- a/tests/standin/held_states_test.cpp
+++ b/tests/standin/held_states_test.cpp
@@ -7,7 +7,7 @@
 
 #include <filesystem>
 
-namespace copperfront::standin {
+namespace copperfront::fake_server {
 namespace {
 
 using Effect = HeldStates::ReleaseEffect;
@@ -25,7 +25,7 @@
         return std::string(GetParam()) == "memory" ? static_cast<MarkerStore&>(memory_) : folder_store_;
     }
     Folder folder_;
-    MemoryMarkStore memory_;
+    MemoryMarkerStore memory_;
     FolderMarkerStore folder_store_{folder_.path};
     HeldStates states_{store()};
     const std::string prefill_ = FolderMarkerStore::attempt_name(0);
@@ -45,9 +45,9 @@
     EXPECT_TRUE(states_.hand_over_arrived("q", attempt_));
     EXPECT_TRUE(states_.hand_over_arrived("q", other_));
     EXPECT_EQ(states_.release("q"), Effect::kept);
-    states_.attempt_over("q", attempt_);
+    states_.attempt_ended("q", attempt_);
     EXPECT_EQ(states_.release("q"), Effect::kept);
-    states_.attempt_over("q", other_);
+    states_.attempt_ended("q", other_);
     EXPECT_EQ(states_.release("q"), Effect::released);
 }
 
@@ -101,7 +101,7 @@
 
 // Two prefills of one request may each have left a state.
 TEST(HeldStates, AllStatesOfARequestAreReleasedTogether) {
-    MemoryMarkStore store;
+    MemoryMarkerStore store;
     HeldStates states(store);
     states.prefill_ended("q", "1");
     states.prefill_ended("q", "2");
@@ -110,4 +110,4 @@
 }
 
 }  // namespace
-}  // namespace copperfront::standin
+}  // namespace copperfront::fake_server
--- a/tests/terms/terms_test.cpp
+++ b/tests/terms/terms_test.cpp
@@ -26,9 +26,9 @@
     return text.replace(at, from.size(), to);
 }
 
-std::vector<Fault> diagnostics_of(const std::string& text, const Overrides& o = {}) {
+std::vector<Diagnostic> diagnostics_of(const std::string& text, const Overrides& o = {}) {
     GatewayTerms terms;
-    std::vector<Fault> diagnostics;
+    std::vector<Diagnostic> diagnostics;
     const bool ok = read_terms(text, o, terms, diagnostics);
     assert(ok == diagnostics.empty());
     return diagnostics;
@@ -36,28 +36,28 @@
 
 // Expects an error on that line whose path and text contain these.
 void expect_diagnostic(const std::string& text, int line, const std::string& path, const std::string& what) {
-    const std::vector<Fault> diagnostics = diagnostics_of(text);
-    for (const Fault& f : diagnostics)
+    const std::vector<Diagnostic> diagnostics = diagnostics_of(text);
+    for (const Diagnostic& f : diagnostics)
         if (f.line == line && f.path.find(path) != std::string::npos &&
-            f.what.find(what) != std::string::npos)
+            f.message.find(what) != std::string::npos)
             return;
     std::fprintf(stderr, "expected line %d, %s: %s; found\n%s\n", line, path.c_str(), what.c_str(),
-                 text_of("file", diagnostics).c_str());
+                 format_diagnostics("file", diagnostics).c_str());
     assert(false);
 }
 
 void a_valid_file_is_read() {
     GatewayTerms t;
-    std::vector<Fault> diagnostics;
+    std::vector<Diagnostic> diagnostics;
     assert(read_terms(kValidTerms, {}, t, diagnostics));
-    assert(t.core.categories.size() == 1 && t.core.categories[0].latency_goal == Span{1500000});
-    assert(t.deadlines[0] == Span{6000000} && t.bounds.connect_timeout == Span{250000});
+    assert(t.core.categories.size() == 1 && t.core.categories[0].latency_goal == Duration{1500000});
+    assert(t.deadlines[0] == Duration{6000000} && t.bounds.connect_timeout == Duration{250000});
     Overrides o;
     o.name = "other";
     assert(read_terms(kValidTerms, o, t, diagnostics) && t.name == "other");
     // Optional features are off unless they are stated.
-    assert(!t.core.peers && t.peers.empty() && !t.core.probes && !t.core.reports_memory &&
-           !t.core.reports_unread);
+    assert(!t.core.peers && t.peers.empty() && !t.core.probes && !t.core.reports_memory_share &&
+           !t.core.reports_queued_tokens);
     // One file serves all gateways: a gateway is not its own peer.
     const std::string peers =
         replaced(kValidTerms, "(zone \"north\")\n",
--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -97,30 +97,30 @@
 
 std::unique_ptr<TraceFile> open_bytes(std::string bytes, const std::string& name = "x") {
     std::string why;
-    auto file = TraceFile::open(std::make_unique<TextSource>(std::move(bytes)), name, why);
+    auto file = TraceFile::open(std::make_unique<MemorySource>(std::move(bytes)), name, why);
     if (!file) std::fprintf(stderr, "%s\n", why.c_str());
     return file;
 }
 
-std::vector<Row> rows_in(const TraceFile& file, Pool& pool) {
+std::vector<Row> rows_in(const TraceFile& file, StringTable& pool) {
     std::vector<Row> out;
     const CutResult r = cut({&file}, {}, pool, [&](const Row& row) {
         out.push_back(row);
         return true;
     });
-    assert(r.troubles.empty());
+    assert(r.errors.empty());
     return out;
 }
 
 // Returns a file of these rows, with `block_rows` rows per block.
-std::string file_of(const std::vector<Row>& rows, const Pool& pool, std::size_t block_rows,
-                    std::uint32_t version = kNewest, bool close = true,
+std::string file_of(const std::vector<Row>& rows, const StringTable& pool, std::size_t block_rows,
+                    std::uint32_t version = kNewestVersion, bool close = true,
                     const std::string& origin = "g1.18f3a") {
     FakeDisk disk;
     std::string why;
     FileWriter writer(disk.create("f", why), Header::of(version, origin, "z", 0));
     assert(writer.start(why));
-    std::vector<Batch> batches{Batch(Table::queries), Batch(Table::decisions), Batch(Table::events)};
+    std::vector<Batch> batches{Batch(Table::requests), Batch(Table::decisions), Batch(Table::events)};
     const auto flush = [&](Batch& b) {
         assert(writer.add(b, pool, why));
         b.clear();
@@ -135,9 +135,9 @@
     return *disk.files.at("f");
 }
 
-std::vector<Row> random_rows(Pool& pool, int queries, std::uint32_t seed = 3,
+std::vector<Row> random_rows(StringTable& pool, int queries, std::uint32_t seed = 3,
                              const std::string& gateway = "g1") {
-    RandomDay generator(pool, seed, gateway);
+    RandomRows generator(pool, seed, gateway);
     std::vector<Row> all, one;
     for (int n = 0; n < queries; ++n) {
         generator.next(one);
@@ -147,7 +147,7 @@
 }
 
 // Rows with different pools are compared by their texts.
-std::multiset<std::string> texts(const std::vector<Row>& rows, Pool& pool) {
+std::multiset<std::string> texts(const std::vector<Row>& rows, StringTable& pool) {
     JsonLines lines(pool);
     std::multiset<std::string> out;
     for (const Row& row : rows) {
@@ -158,8 +158,8 @@
     return out;
 }
 
-Row arbitrary_row(Pool& pool) {
-    Row row(*rc::gen::element(Table::queries, Table::decisions, Table::events));
+Row arbitrary_row(StringTable& pool) {
+    Row row(*rc::gen::element(Table::requests, Table::decisions, Table::events));
     const auto columns = columns_of(row.table);
     const auto value = [&](Encoding encoding) -> std::int64_t {
         if (is_name(encoding))
@@ -183,11 +183,11 @@
 
 void written_rows_are_read_back() {
     assert(rc::check("rows", [] {
-        Pool pool, other;
+        StringTable pool, other;
         std::vector<Row> rows;
         for (int n = *rc::gen::inRange(1, 40); n > 0; --n) rows.push_back(arbitrary_row(pool));
         const auto block = *rc::gen::inRange<std::size_t>(1, 20);
-        auto file = open_bytes(file_of(rows, pool, block, kNewest, *rc::gen::arbitrary<bool>()));
+        auto file = open_bytes(file_of(rows, pool, block, kNewestVersion, *rc::gen::arbitrary<bool>()));
         RC_ASSERT(file != nullptr);
         RC_ASSERT(file->damaged_ranges().empty());
         const std::vector<Row> back = rows_in(*file, other);
@@ -197,7 +197,7 @@
 
 // A process may be killed at any byte: every intact block must be read, and nothing that was not written.
 void a_truncated_file_yields_its_intact_blocks() {
-    Pool pool;
+    StringTable pool;
     const std::vector<Row> rows = random_rows(pool, 12);
     const std::string whole = file_of(rows, pool, 16);
     const auto full = open_bytes(whole);
@@ -206,7 +206,7 @@
     std::size_t headerless = 0;
     for (std::size_t size = 0; size < whole.size(); ++size) {
         std::string why;
-        const auto file = TraceFile::open(std::make_unique<TextSource>(whole.substr(0, size)), "x", why);
+        const auto file = TraceFile::open(std::make_unique<MemorySource>(whole.substr(0, size)), "x", why);
         if (!file) {
             assert(!why.empty());
             ++headerless;
@@ -220,7 +220,7 @@
                 expected += b.rows;
                 end = b.offset + b.size;
             }
-        Pool other;
+        StringTable other;
         const std::vector<Row> back = rows_in(*file, other);
         assert(back.size() == expected);
         const auto got = texts(back, other);
@@ -233,7 +233,7 @@
         const auto next =
             std::find_if(full->index().blocks.begin(), full->index().blocks.end(),
                          [&](const BlockInfo& b) { return b.offset <= size && size < b.offset + b.size; });
-        if (next != full->index().blocks.end() && size >= next->offset + kBlockHead)
+        if (next != full->index().blocks.end() && size >= next->offset + kBlockHeaderSize)
             assert(file->damaged_ranges().size() == 1 && file->damaged_ranges()[0].rows == next->rows);
     }
     assert(headerless < 1500 && headerless > 16);
@@ -242,7 +242,7 @@
 // Bits may flip on a disk: every row read must have been written, and a block with a wrong checksum is never
 // read.
 void flipped_bits_never_yield_false_rows() {
-    Pool pool;
+    StringTable pool;
     const std::vector<Row> rows = random_rows(pool, 20);
     const std::string whole = file_of(rows, pool, 8);
     const auto all = texts(rows, pool);
@@ -253,12 +253,12 @@
         for (int flips = 1 + static_cast<int>(chance() % 3); flips > 0; --flips)
             bad[chance() % bad.size()] ^= static_cast<char>(1U << (chance() % 8));
         std::string why;
-        const auto file = TraceFile::open(std::make_unique<TextSource>(bad), "x", why);
+        const auto file = TraceFile::open(std::make_unique<MemorySource>(bad), "x", why);
         if (!file) {
             ++unread;
             continue;
         }
-        Pool other;
+        StringTable other;
         std::vector<Row> back;
         const CutResult r = cut({file.get()}, {}, other, [&](const Row& row) {
             back.push_back(row);
@@ -267,16 +267,16 @@
         const auto got = texts(back, other);
         assert(std::includes(all.begin(), all.end(), got.begin(), got.end()));
         // Missing rows are reported, either by the file or when reading it.
-        if (got.size() < all.size()) assert(!file->damaged_ranges().empty() || !r.troubles.empty());
+        if (got.size() < all.size()) assert(!file->damaged_ranges().empty() || !r.errors.empty());
     }
     assert(unread < 600);
 }
 
 // A file of a newer writer: unknown columns and tables are skipped.
 void unknown_columns_and_tables_are_skipped() {
-    Pool pool;
+    StringTable pool;
     const std::vector<Row> rows = random_rows(pool, 5);
-    Header newer = Header::of(kNewest, "g1.18f3a", "z", 0);
+    Header newer = Header::of(kNewestVersion, "g1.18f3a", "z", 0);
     for (StoredTable& t : newer.tables) {
         t.columns.insert(t.columns.begin() + 2,
                          {"colour", Encoding::name, 1});  // claims the index of the origin column
@@ -290,24 +290,24 @@
     unknown_table.columns = {{"at", Encoding::delta, 0}};
     newer.tables.push_back(unknown_table);
     std::string bytes = encode(newer), why;
-    Batch batch(Table::decisions), queries(Table::queries);
+    Batch batch(Table::decisions), queries(Table::requests);
     for (const Row& row : rows) {
         if (row.table == Table::decisions) batch.add(row);
-        if (row.table == Table::queries) queries.add(row);
+        if (row.table == Table::requests) queries.add(row);
     }
     std::string block = encode(newer, batch, pool);
     bytes += block + encode(newer, queries, pool);
     auto file = open_bytes(bytes);
-    Pool other;
+    StringTable other;
     assert(file && texts(rows_in(*file, other), other) == texts(rows, pool));
     // An unknown version is rejected with a message that names the supported versions.
     std::string future = bytes;
     future[8] = 9;
-    assert(!TraceFile::open(std::make_unique<TextSource>(future), "x", why));
+    assert(!TraceFile::open(std::make_unique<MemorySource>(future), "x", why));
     assert(why.find("version is 9") != std::string::npos);
 }
 
-std::vector<Row> merged(const std::vector<const TraceFile*>& files, Pool& pool,
+std::vector<Row> merged(const std::vector<const TraceFile*>& files, StringTable& pool,
                         std::uint64_t* duplicates = nullptr, const std::vector<std::int64_t>& offsets = {}) {
     std::vector<Merger::Input> inputs;
     for (std::size_t n = 0; n < files.size(); ++n)
@@ -315,7 +315,7 @@
     Merger merger(inputs, pool);
     std::vector<Row> out;
     for (Row row; merger.next(row);) out.push_back(row);
-    assert(merger.troubles().empty());
+    assert(merger.errors().empty());
     if (duplicates) *duplicates = merger.duplicates();
     return out;
 }
@@ -328,22 +328,23 @@
 // The old version has requests only; merged files contain all rows by time, and those of the old file have no
 // decisions.
 void two_versions_are_merged() {
-    Pool pool, other;
+    StringTable pool, other;
     const std::vector<Row> a = random_rows(pool, 50, 3, "g1"), b = random_rows(pool, 50, 4, "g2");
     const auto old = open_bytes(file_of(a, pool, 64, 1, true, "g1.18f3a"));
     const auto now = open_bytes(file_of(b, pool, 64, 2, true, "g2.18f3a"));
-    assert(old->header().version == 1 && old->rows(Table::queries) == 50 && old->rows(Table::decisions) == 0);
+    assert(old->header().version == 1 && old->rows(Table::requests) == 50 &&
+           old->rows(Table::decisions) == 0);
     const std::vector<Row> all = merged({old.get(), now.get()}, other);
     assert(is_sorted_by_time(all) && all.size() == 50 + b.size());
     for (const Row& row : all)
-        if (row.table == Table::queries && other.text(row[1]) == "g1.18f3a")
-            assert(row[query_column::generation] == 0 && row[query_column::took] > 0);
+        if (row.table == Table::requests && other.text(row[1]) == "g1.18f3a")
+            assert(row[request_column::terms_generation] == 0 && row[request_column::duration] > 0);
 }
 
 // Rows out of order, equal times, a clock that steps back by an hour and one that runs behind.
 void unordered_times_are_handled() {
     assert(rc::check("times", [] {
-        Pool pool, other;
+        StringTable pool, other;
         std::vector<Row> rows = random_rows(pool, 30);
         for (Row& row : rows) {
             const int what = *rc::gen::inRange(0, 10);
@@ -355,7 +356,7 @@
         RC_ASSERT(is_sorted_by_time(back));
         RC_ASSERT(texts(back, other) == texts(rows, pool));
         // Cutting by time gives the same rows as checking every row.
-        Wanted filter;
+        RowFilter filter;
         filter.from = rows[*rc::gen::inRange<std::size_t>(0, rows.size())].at();
         filter.until = filter.from + 400000;
         std::vector<Row> found, expected;
@@ -370,7 +371,7 @@
 }
 
 void duplicates_across_files_are_merged() {
-    Pool pool, other;
+    StringTable pool, other;
     const std::vector<Row> rows = random_rows(pool, 60);
     const std::vector<Row> first(rows.begin(), rows.begin() + 200), second(rows.begin() + 100, rows.end());
     const auto a = open_bytes(file_of(first, pool, 32)), b = open_bytes(file_of(second, pool, 50));
@@ -388,7 +389,7 @@
 
 // Merging 64 files keeps only a few blocks of each in memory, regardless of their length.
 void a_merge_loads_few_blocks() {
-    Pool pool, other;
+    StringTable pool, other;
     std::vector<std::unique_ptr<TraceFile>> files;
     std::vector<Merger::Input> inputs;
     std::uint64_t rows = 0;
@@ -449,7 +450,7 @@
 
 void json_lines_round_trip() {
     assert(rc::check("lines", [] {
-        Pool pool;
+        StringTable pool;
         JsonLines lines(pool);
         // JSON cannot hold bytes that are not UTF-8.
         Row row = arbitrary_row(pool);
@@ -465,7 +466,7 @@
         RC_ASSERT(lines.read(text, back, why));
         RC_ASSERT(back == row);
     }));
-    Pool pool;
+    StringTable pool;
     JsonLines lines(pool);
     Row row;
     std::string why;
@@ -485,7 +486,7 @@
 
 // No original value remains; equal values stay equal under one key and differ under another.
 void anonymised_rows_preserve_only_equality() {
-    Pool pool;
+    StringTable pool;
     const std::vector<Row> rows = random_rows(pool, 200);
     Anonymiser one("a key of sixteen", {}, pool), same("a key of sixteen", {}, pool),
         other("another key of 16", {}, pool);
@@ -493,7 +494,7 @@
     const std::set<std::int64_t> before = [&] {
         std::set<std::int64_t> s;
         for (const Row& r : rows)
-            if (r.table == Table::queries) s.insert(r[query_column::session]);
+            if (r.table == Table::requests) s.insert(r[request_column::session]);
         return s;
     }();
     std::vector<Row> changed;
@@ -504,30 +505,32 @@
         other.anonymise(c);
         assert(a == b);
         changed.push_back(a);
-        if (row.table != Table::queries || row[query_column::session] == 0) continue;
-        assert(a[query_column::session] != c[query_column::session] &&
-               !before.count(a[query_column::session]));
-        const auto [it, fresh] = sessions.try_emplace(row[query_column::session], a[query_column::session]);
-        assert(it->second == a[query_column::session]);
-        const auto [other_way, also] = back.try_emplace(a[query_column::session], row[query_column::session]);
-        assert(other_way->second == row[query_column::session] && fresh == also);
-        assert(a[query_column::prompt_tokens] == row[query_column::prompt_tokens]);
+        if (row.table != Table::requests || row[request_column::session] == 0) continue;
+        assert(a[request_column::session] != c[request_column::session] &&
+               !before.count(a[request_column::session]));
+        const auto [it, fresh] =
+            sessions.try_emplace(row[request_column::session], a[request_column::session]);
+        assert(it->second == a[request_column::session]);
+        const auto [other_way, also] =
+            back.try_emplace(a[request_column::session], row[request_column::session]);
+        assert(other_way->second == row[request_column::session] && fresh == also);
+        assert(a[request_column::prompt_tokens] == row[request_column::prompt_tokens]);
     }
-    const std::string bytes = file_of(changed, pool, 4096, kNewest, true, "");
+    const std::string bytes = file_of(changed, pool, 4096, kNewestVersion, true, "");
     const auto file = open_bytes(bytes);
-    Pool fresh;
+    StringTable fresh;
     for (const std::string& line : texts(rows_in(*file, fresh), fresh))
         for (const char* name : {"bakery", "books", "g1", "10.0.", "long prompts", "points-help"})
             assert(line.find(name) == std::string::npos);
     Anonymiser coarse("a key of sixteen", {100000, 256}, pool);
     Row q = rows.back();
     coarse.anonymise(q);
-    assert(q.at() % 100000 == 0 && q[query_column::prompt_tokens] % 256 == 0 &&
-           q[query_column::prompt_tokens] >= rows.back()[query_column::prompt_tokens]);
+    assert(q.at() % 100000 == 0 && q[request_column::prompt_tokens] % 256 == 0 &&
+           q[request_column::prompt_tokens] >= rows.back()[request_column::prompt_tokens]);
 }
 
 void a_request_is_explained_from_its_own_blocks() {
-    Pool pool, other;
+    StringTable pool, other;
     const std::vector<Row> rows = random_rows(pool, 2000);
     const auto file = open_bytes(file_of(rows, pool, 256));
     RequestName name;
@@ -535,31 +538,31 @@
     assert(!parse_request_name("g1.", name) && !parse_request_name("x", name) &&
            !parse_request_name("g1.2x", name));
     parse_request_name("g1.18f3a.1234", name);
-    const Found found = rows_of({file.get()}, name, other);
+    const RequestRows found = find_request({file.get()}, name, other);
     std::vector<Row> expected;
     for (const Row& r : rows)
         if (r.table != Table::events && r[2] == 1234) expected.push_back(r);
     assert(texts(found.rows, other) == texts(expected, pool));
-    assert(found.blocks_read < 8 && found.rows.back().table == Table::queries);
-    const std::string text = story(found.rows, other);
+    assert(found.blocks_read < 8 && found.rows.back().table == Table::requests);
+    const std::string text = explain_request(found.rows, other);
     for (const char* part :
          {"query g1.18f3a.1234, came 2025-", "prompt tokens", "read at 10.0.",
           "that could be taken:", "tokens queued", "tokens of room", "first token from", "after"})
         assert(text.find(part) != std::string::npos);
-    assert(rows_of({file.get()}, {"g9.1", 5}, other).rows.empty());
+    assert(find_request({file.get()}, {"g9.1", 5}, other).rows.empty());
 }
 
 void a_cut_by_route_includes_all_rows_of_a_request() {
-    Pool pool, other;
+    StringTable pool, other;
     const std::vector<Row> rows = random_rows(pool, 300);
     const auto file = open_bytes(file_of(rows, pool, 64));
     std::set<std::int64_t> of_web;
     for (const Row& r : rows)
-        if (r.table == Table::queries && pool.text(r[query_column::route]) == "web") of_web.insert(r[2]);
+        if (r.table == Table::requests && pool.text(r[request_column::route]) == "web") of_web.insert(r[2]);
     std::vector<Row> expected, found;
     for (const Row& r : rows)
         if (of_web.count(r[2])) expected.push_back(r);
-    Wanted filter;
+    RowFilter filter;
     filter.route = "web";
     cut({file.get()}, filter, other, [&](const Row& row) {
         found.push_back(row);
@@ -567,22 +570,22 @@
     });
     assert(!expected.empty() && texts(found, other) == texts(expected, pool));
     // By server: every request that was sent there, with all its rows.
-    Wanted at;
+    RowFilter at;
     at.server = "10.0.0.3:8000";
     std::size_t whole = 0, all = 0;
     cut({file.get()}, at, other, [&](const Row& row) {
         ++all;
-        whole += row.table == Table::queries;
+        whole += row.table == Table::requests;
         return true;
     });
     assert(whole > 3 && all > 4 * whole);
 }
 
 void summaries_of_parts_add_up() {
-    Pool pool;
+    StringTable pool;
     const std::vector<Row> rows = random_rows(pool, 500);
     for (std::size_t by = 0; by < std::size(kGroupByNames); ++by) {
-        Summary whole(static_cast<By>(by)), a(static_cast<By>(by)), b(static_cast<By>(by));
+        Summary whole(static_cast<GroupBy>(by)), a(static_cast<GroupBy>(by)), b(static_cast<GroupBy>(by));
         for (std::size_t n = 0; n < rows.size(); ++n) {
             whole.add(rows[n], pool);
             (n < rows.size() / 3 ? a : b).add(rows[n], pool);
@@ -591,7 +594,7 @@
         assert(a.json() == whole.json() && a.csv() == whole.csv() && a.text() == whole.text());
         assert(difference(a, whole).find('\n') == difference(a, whole).size() - 1);  // heading only
     }
-    Summary all(By::all);
+    Summary all(GroupBy::all);
     for (const Row& r : rows) all.add(r, pool);
     const GroupTotals& s = all.groups().at("all");
     std::uint64_t outcomes = 0;
@@ -603,7 +606,7 @@
 
 struct RecorderFixture {
     FakeDisk disk;
-    KeepingTerms terms;
+    StorageTerms terms;
     Instant now{1'764'600'000'000'000};
     std::unique_ptr<Recorder> recorder;
     std::int64_t number = 0;
@@ -612,16 +615,16 @@
     // Adds rows and passes them to the writer thread as the loop would.
     void put(int rows) {
         Row row;
-        row[query_column::origin] = recorder->origin();
-        row[query_column::route] = recorder->code("web");
+        row[request_column::origin] = recorder->origin();
+        row[request_column::route] = recorder->code("web");
         for (int n = 0; n < rows; ++n) {
-            row[query_column::at] = now.us;
-            row[query_column::query] = ++number;
-            row[query_column::session] =
+            row[request_column::at] = now.us;
+            row[request_column::request] = ++number;
+            row[request_column::session] =
                 static_cast<std::int64_t>(static_cast<std::uint64_t>(number) * 0x9e3779b97f4a7c15ULL);
             recorder->add(row, now);
         }
-        now = now + terms.hand_over;
+        now = now + terms.flush_interval;
         recorder->tick(now);
     }
     template <class Done>
@@ -635,11 +638,11 @@
         std::pair<std::vector<std::int64_t>, std::uint64_t> out;
         for (const auto& [path, bytes] : disk.files) {
             if (bytes->empty()) continue;
-            Pool pool;
+            StringTable pool;
             const auto file = open_bytes(*bytes, path);
             assert(file);
             for (const Row& row : rows_in(*file, pool)) {
-                if (row.table == Table::queries) out.first.push_back(row[query_column::query]);
+                if (row.table == Table::requests) out.first.push_back(row[request_column::request]);
                 if (row.table == Table::events)
                     out.second += static_cast<std::uint64_t>(row[event_column::number]);
             }
@@ -650,8 +653,8 @@
 
 void a_gateway_writes_and_rotates_within_its_budget() {
     RecorderFixture s;
-    s.terms.file_bytes = 3000;
-    s.terms.folder_bytes = 12000;
+    s.terms.max_file_bytes = 3000;
+    s.terms.max_folder_bytes = 12000;
     s.disk.files["t/g2-1-000001.cft"] = std::make_shared<std::string>(50000, 'x');  // another gateway's
     s.start();
     for (int n = 0; n < 60; ++n) {
@@ -690,14 +693,14 @@
         for (int n = 0; n < 30; ++n) {
             s.put(100);
             s.wait([&] { return s.recorder->dropped() == static_cast<std::uint64_t>(n + 1) * 100; });
-            for (std::string& line : s.recorder->news()) news.push_back(std::move(line));
+            for (std::string& line : s.recorder->take_messages()) news.push_back(std::move(line));
         }
         assert(news.size() == 1 && news[0].find("No space left") != std::string::npos);
         s.disk.set_capacity(UINT64_MAX);
-        s.now = s.now + Span{60'000'000};
+        s.now = s.now + Duration{60'000'000};
         s.put(100);
         s.wait([&] { return s.recorder->written() >= 201; });
-        const auto after = s.recorder->news();
+        const auto after = s.recorder->take_messages();
         assert(after.size() == 1 && after[0].find("written again; 3000 rows") != std::string::npos);
         s.recorder.reset();
         const auto [numbers, dropped] = s.read();
@@ -708,7 +711,7 @@
 // A slow disk: the queue is bounded, and the loop never waits.
 void the_queue_for_a_slow_disk_is_bounded() {
     RecorderFixture s;
-    s.terms.queue = 4;
+    s.terms.max_queued_batches = 4;
     s.start();
     {
         const std::lock_guard stuck(s.disk.mutex);  // the writer thread blocks in its first write
@@ -749,9 +752,9 @@
         }
         out.open += !file->closed();
         for (const DamagedRange& t : file->damaged_ranges()) out.damaged_bytes += t.bytes;
-        Pool pool;
+        StringTable pool;
         for (const Row& row : rows_in(*file, pool))
-            if (row.table == Table::queries) out.numbers.push_back(row[query_column::query]);
+            if (row.table == Table::requests) out.numbers.push_back(row[request_column::request]);
     }
     return out;
 }
@@ -776,10 +779,10 @@
         const std::string folder = temporary_folder();
         const int status = run_in_child([&] {
             RealDisk disk;
-            KeepingTerms terms;
-            terms.file_bytes = 400;  // each batch starts a new file
-            terms.folder_bytes = 1ULL << 40;
-            terms.queue = 1000;
+            StorageTerms terms;
+            terms.max_file_bytes = 400;  // each batch starts a new file
+            terms.max_folder_bytes = 1ULL << 40;
+            terms.max_queued_batches = 1000;
             Instant now{1'764'600'000'000'000};
             Recorder recorder(disk, terms, folder, "g1", "1", "z", now);
             Row row;
@@ -788,8 +791,8 @@
                 row[0] = now.us;
                 row[2] = n;
                 recorder.add(row, now);
-                now = now + Span{1000};
-                if (n % 20 == 0) recorder.tick(now = now + terms.hand_over);
+                now = now + Duration{1000};
+                if (n % 20 == 0) recorder.tick(now = now + terms.flush_interval);
                 // Depends on the progress of the writer thread, so that the kill hits any of its steps.
                 if (recorder.written() > static_cast<std::uint64_t>(60 + 37 * round))
                     ::kill(::getpid(), SIGKILL);
@@ -811,8 +814,8 @@
     const int status = run_in_child([&] {
         ::signal(SIGXFSZ, SIG_IGN);
         RealDisk disk;
-        KeepingTerms terms;
-        terms.file_bytes = 1 << 20;  // larger than the limit, so that the limit is reached first
+        StorageTerms terms;
+        terms.max_file_bytes = 1 << 20;  // larger than the limit, so that the limit is reached first
         Instant now{1'764'600'000'000'000};
         Recorder recorder(disk, terms, folder, "g1", "1", "z", now);
         const rlimit limit{6000, RLIM_INFINITY};
@@ -824,11 +827,11 @@
             for (int k = 0; k < 200; ++k) {
                 row[0] = now.us;
                 row[2] = ++n;
-                row[query_column::session] =
+                row[request_column::session] =
                     static_cast<std::int64_t>(static_cast<std::uint64_t>(n) * 0x9e3779b97f4a7c15ULL);
                 recorder.add(row, now);
             }
-            recorder.tick(now = now + terms.hand_over);
+            recorder.tick(now = now + terms.flush_interval);
             for (int w = 0;
                  w < 20000 && recorder.written() + recorder.dropped() < static_cast<std::uint64_t>(n); ++w)
                 ::usleep(500);
@@ -836,7 +839,7 @@
         while (recorder.dropped() == 0 && n < 100000) put();
         const rlimit more{1 << 20, RLIM_INFINITY};
         ::setrlimit(RLIMIT_FSIZE, &more);
-        now = now + Span{60'000'000};
+        now = now + Duration{60'000'000};
         const std::uint64_t before = recorder.written();
         put();
         if (recorder.written() <= before || recorder.dropped() != 200) ::_exit(3);
@@ -864,7 +867,7 @@
             const std::lock_guard lock(s.disk.mutex);
             bytes = *s.disk.files.begin()->second;
         }
-        Pool pool;
+        StringTable pool;
         const auto file = open_bytes(bytes);
         const std::size_t rows = rows_in(*file, pool).size();
         assert(!file->closed() && file->damaged_ranges().empty() && rows == before + 30);
@@ -873,12 +876,12 @@
 }
 
 void retention_depends_on_size_and_age() {
-    KeepingTerms terms;
-    terms.file_bytes = 100;
-    terms.folder_bytes = 450;
+    StorageTerms terms;
+    terms.max_file_bytes = 100;
+    terms.max_folder_bytes = 450;
     StoragePolicy k(terms);
-    assert(!k.should_rotate(99, Span{1}) && k.should_rotate(100, Span{1}) &&
-           k.should_rotate(1, terms.file_age));
+    assert(!k.should_rotate(99, Duration{1}) && k.should_rotate(100, Duration{1}) &&
+           k.should_rotate(1, terms.max_file_age));
     const std::vector<Disk::FileEntry> files{{"a", 100}, {"b", 100}, {"c", 100}, {"d", 100}, {"e", 10}};
     assert((k.files_to_delete(files, "e") == std::vector<std::string>{"a"}));
     assert((k.files_to_delete({{"a", 9000}}, "a").empty()));  // never the open file
@@ -894,7 +897,7 @@
     assert(k.may_write(now) && k.record_failure(now) && !k.may_write(now));
     int tries = 0;
     for (int s = 0; s < 600; ++s) {
-        now = now + Span{1'000'000};
+        now = now + Duration{1'000'000};
         if (!k.may_write(now)) continue;
         ++tries;
         assert(!k.record_failure(now));
@@ -904,7 +907,7 @@
     // After a clock steps back by an hour, the disk is still retried, synced and given a new file.
     k.record_failure(now);
     k.record_sync(now);
-    const Instant back = now - Span{3600'000'000};
+    const Instant back = now - Duration{3600'000'000};
     assert(!k.may_write(now) && k.may_write(back) && !k.sync_due(now, true) && k.sync_due(back, true));
     assert(!k.sync_due(back, false) && k.should_rotate(1, back - now));
 }
