--- a/bench/growth_bench.cpp
+++ b/bench/growth_bench.cpp
@@ -11,8 +11,8 @@
 #include <fstream>
 #include <set>
 
-#include "day/process.h"
-#include "standin/platform.h"
+#include "fakes/fake_platform.h"
+#include "scenario/process.h"
 
 namespace copperfront {
 namespace {
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -18,7 +18,7 @@
 #include <memory>
 #include <sstream>
 
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "rpc/wire.h"
 
 namespace copperfront {
--- a/bench/watching_bench.cpp
+++ b/bench/watching_bench.cpp
@@ -2,7 +2,7 @@
 // and without a shadow router, in fleets of several sizes. Not a test: compare figures only within one run.
 #include <benchmark/benchmark.h>
 
-#include "../tests/desk/fake_outside.h"
+#include "../tests/dispatch/fake_dispatcher_host.h"
 
 using namespace copperfront;
 
--- a/program.cmake
+++ b/program.cmake
@@ -23,7 +23,7 @@
   endif()
 endforeach()
 
-foreach(package sexpr limits watching routes trace terms rpc net logging record desk gateway node standin audit day soak cli)
+foreach(package sexpr limits shadow routes trace terms rpc net logging recording dispatch gateway node fakes audit scenario soak cli)
   add_subdirectory(src/${package})
 endforeach()
 if(COPPERFRONT_TOOLS)
--- a/src/audit/history.h
+++ b/src/audit/history.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "record/recorder.h"
+#include "recording/recorder.h"
 
 namespace copperfront::audit {
 
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -13,11 +13,11 @@
 
 #include "audit/audit.h"
 #include "audit/decisions.h"
-#include "day/callers.h"
-#include "day/runner.h"
+#include "fakes/fake_model_server.h"
+#include "fakes/fake_roster.h"
 #include "gateway/gateway.h"
-#include "standin/engine_server.h"
-#include "standin/roster_server.h"
+#include "scenario/runner.h"
+#include "scenario/scenario_clients.h"
 #include "terms/terms_file.h"
 
 namespace copperfront {
--- a/src/cli/node_command.cpp
+++ b/src/cli/node_command.cpp
@@ -14,8 +14,8 @@
 #include <utility>
 
 #include "cli/commands.h"
+#include "fakes/fake_platform.h"
 #include "node/node.h"
-#include "standin/platform.h"
 
 namespace copperfront {
 namespace {
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 #include "sabotage.h"
 
 namespace copperfront {
--- a/src/core/decode_placement.cpp
+++ b/src/core/decode_placement.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/hold_ledger.h
+++ b/src/core/hold_ledger.h
@@ -23,7 +23,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "host.h"
+#include "router_host.h"
 #include "terms.h"
 #include "units.h"
 
--- a/src/core/prefill_placement.cpp
+++ b/src/core/prefill_placement.cpp
@@ -2,8 +2,8 @@
 // prefix cached.
 #include <algorithm>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/probes.cpp
+++ b/src/core/probes.cpp
@@ -1,8 +1,8 @@
 // Probes of servers, and notes between gateways.
 #include <algorithm>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/retries.cpp
+++ b/src/core/retries.cpp
@@ -1,8 +1,8 @@
 // Further attempts of a request, states that wait for a decode server, and final answers.
 #include <algorithm>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/rules.cpp
+++ b/src/core/router.cpp
@@ -1,15 +1,15 @@
-// The events of one gateway and what follows from each; rules.h has a method for each event. The ordinary
+// The events of one gateway and what follows from each; router.h has a method for each event. The ordinary
 // path is that of docs/design.md: a request goes to the prefill server with the fewest queued prompt tokens
 // (or the one with its prefix cached), waits before its prefill while no decode server shows room, and from
 // the end of the prefill goes to the decode server with the most free memory. Everything else handles a named
 // fault. The decisions are in files of their own beside this one.
-#include "rules.h"
+#include "router.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "rules_tuning.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/rules.h
+++ b/src/core/router.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "helpers.h"
-#include "host.h"
+#include "router_host.h"
 #include "server_subset.h"
 #include "terms.h"
 #include "units.h"
--- a/src/core/rules_tuning.h
+++ b/src/core/router_constants.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <limits>
 
-#include "rules.h"
+#include "router.h"
 
 namespace copperfront {
 
--- a/src/core/server_health.cpp
+++ b/src/core/server_health.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <utility>
 
-#include "rules.h"
-#include "rules_tuning.h"
+#include "router.h"
+#include "router_constants.h"
 
 namespace copperfront {
 
--- a/src/core/server_subset.h
+++ b/src/core/server_subset.h
@@ -7,7 +7,7 @@
 #include <span>
 #include <vector>
 
-#include "host.h"
+#include "router_host.h"
 #include "units.h"
 
 namespace copperfront {
--- a/src/desk/desk.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,9 +1,9 @@
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 
 #include <algorithm>
 
-#include "desk/desk_turn.h"
-#include "limits/stream_watch.h"
+#include "dispatch/event_scope.h"
+#include "limits/stream_silence.h"
 
 namespace copperfront {
 
--- a/src/desk/desk.h
+++ b/src/dispatch/dispatcher.h
@@ -15,12 +15,12 @@
 #include <vector>
 
 #include "core/hold_ledger.h"
-#include "core/rules.h"
+#include "core/router.h"
 #include "core/send_guard.h"
-#include "desk/witness.h"
+#include "dispatch/dispatcher_observer.h"
 #include "limits/admission.h"
 #include "limits/fleet_share.h"
-#include "watching/watching.h"
+#include "shadow/shadow_evaluation.h"
 
 namespace copperfront {
 
--- a/src/desk/desk_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 
 #include "core/sabotage.h"
-#include "desk/desk.h"
-#include "desk/desk_turn.h"
+#include "dispatch/dispatcher.h"
+#include "dispatch/event_scope.h"
 
 namespace copperfront {
 
--- a/src/desk/witness.h
+++ b/src/dispatch/dispatcher_observer.h
@@ -7,8 +7,8 @@
 #include <span>
 #include <string_view>
 
-#include "core/host.h"
-#include "core/rules.h"
+#include "core/router.h"
+#include "core/router_host.h"
 #include "core/terms.h"
 
 namespace copperfront {
--- a/src/desk/desk_alarms.cpp
+++ b/src/dispatch/dispatcher_timers.cpp
@@ -1,7 +1,7 @@
 // Timers of the dispatcher: time limits of attempts, leases of held states, silent streams and the router's
 // own timers.
-#include "desk/desk.h"
-#include "desk/desk_turn.h"
+#include "dispatch/dispatcher.h"
+#include "dispatch/event_scope.h"
 
 namespace copperfront {
 
--- a/src/desk/desk_turn.h
+++ b/src/dispatch/event_scope.h
@@ -1,7 +1,7 @@
 // Internal to the dispatcher's own sources.
 #pragma once
 
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 
 namespace copperfront {
 
--- a/src/standin/engine_server.cpp
+++ b/src/fakes/fake_model_server.cpp
@@ -1,9 +1,9 @@
-#include "standin/engine_server.h"
+#include "fakes/fake_model_server.h"
 
 #include <algorithm>
 #include <deque>
 
-#include "door/names.h"
+#include "interning/name_table.h"
 
 namespace copperfront::fake_server {
 namespace {
--- a/src/standin/engine_server.h
+++ b/src/fakes/fake_model_server.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "net/link.h"
-#include "record/recorder.h"
+#include "fakes/model_server_simulation.h"
+#include "net/line_connection.h"
+#include "recording/recorder.h"
 #include "rpc/wire.h"
-#include "standin/engine_model.h"
 
 namespace copperfront::fake_server {
 
--- a/src/standin/platform.cpp
+++ b/src/fakes/fake_platform.cpp
@@ -1,10 +1,10 @@
-#include "standin/platform.h"
+#include "fakes/fake_platform.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
-#include "standin/response_text.h"
+#include "fakes/response_text.h"
 
 namespace copperfront::fake_server {
 namespace {
--- a/src/standin/platform.h
+++ b/src/fakes/fake_platform.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "core/terms.h"
+#include "fakes/held_states.h"
 #include "http/message.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/stream.h"
-#include "standin/held_states.h"
 
 namespace copperfront::fake_server {
 
--- a/src/standin/roster_server.cpp
+++ b/src/fakes/fake_roster.cpp
@@ -1,8 +1,8 @@
-#include "standin/roster_server.h"
+#include "fakes/fake_roster.h"
 
 #include <algorithm>
 
-#include "door/names.h"
+#include "interning/name_table.h"
 
 namespace copperfront::fake_server {
 namespace {
--- a/src/standin/roster_server.h
+++ b/src/fakes/fake_roster.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "net/link.h"
-#include "record/recorder.h"
+#include "net/line_connection.h"
+#include "recording/recorder.h"
 #include "rpc/wire.h"
 
 namespace copperfront::fake_server {
--- a/src/standin/held_states.cpp
+++ b/src/fakes/held_states.cpp
@@ -1,4 +1,4 @@
-#include "standin/held_states.h"
+#include "fakes/held_states.h"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/src/standin/engine_model.cpp
+++ b/src/fakes/model_server_simulation.cpp
@@ -1,4 +1,4 @@
-#include "standin/engine_model.h"
+#include "fakes/model_server_simulation.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/standin/engine_model.h
+++ b/src/fakes/model_server_simulation.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 
 namespace copperfront::fake_server {
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "desk/desk.h"
-#include "gateway/callers.h"
-#include "gateway/engines.h"
-#include "gateway/peers.h"
-#include "gateway/roster_feed.h"
-#include "gateway/trace_feed.h"
+#include "dispatch/dispatcher.h"
+#include "gateway/peer_notes.h"
+#include "gateway/roster_client.h"
+#include "gateway/rpc_client_connections.h"
+#include "gateway/server_connections.h"
+#include "gateway/trace_observer.h"
 #include "logging/log.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "terms/terms_file.h"
 
 namespace copperfront {
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peer_notes.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peers.h"
+#include "gateway/peer_notes.h"
 
 #include <event2/event.h>
 #include <sys/socket.h>
--- a/src/gateway/roster_feed.cpp
+++ b/src/gateway/roster_client.cpp
@@ -1,4 +1,4 @@
-#include "gateway/roster_feed.h"
+#include "gateway/roster_client.h"
 
 namespace copperfront {
 namespace {
--- a/src/gateway/roster_feed.h
+++ b/src/gateway/roster_client.h
@@ -7,9 +7,9 @@
 #include <memory>
 #include <string>
 
-#include "gateway/list_store.h"
+#include "gateway/server_list_store.h"
 #include "logging/log.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "rpc/wire.h"
 #include "terms/terms_file.h"
 
--- a/src/gateway/callers.cpp
+++ b/src/gateway/rpc_client_connections.cpp
@@ -1,4 +1,4 @@
-#include "gateway/callers.h"
+#include "gateway/rpc_client_connections.h"
 
 #include <unistd.h>
 
--- a/src/gateway/callers.h
+++ b/src/gateway/rpc_client_connections.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "logging/log.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "rpc/wire.h"
 #include "terms/terms_file.h"
 
--- a/src/gateway/engines.cpp
+++ b/src/gateway/server_connections.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines.h"
+#include "gateway/server_connections.h"
 
 #include <algorithm>
 
--- a/src/gateway/engines.h
+++ b/src/gateway/server_connections.h
@@ -10,9 +10,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 #include "logging/log.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "rpc/wire.h"
 #include "terms/terms_file.h"
 
--- a/src/gateway/list_store.cpp
+++ b/src/gateway/server_list_store.cpp
@@ -1,4 +1,4 @@
-#include "gateway/list_store.h"
+#include "gateway/server_list_store.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "door/names.h"
+#include "interning/name_table.h"
 #include "sexpr/tree.h"
 
 namespace copperfront {
--- a/src/gateway/trace_feed.cpp
+++ b/src/gateway/trace_observer.cpp
@@ -1,4 +1,4 @@
-#include "gateway/trace_feed.h"
+#include "gateway/trace_observer.h"
 
 #include <cmath>
 #include <filesystem>
--- a/src/gateway/trace_feed.h
+++ b/src/gateway/trace_observer.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "desk/witness.h"
+#include "dispatch/dispatcher_observer.h"
 #include "logging/log.h"
 #include "net/loop.h"
 #include "terms/terms_file.h"
--- a/src/limits/stream_watch.cpp
+++ b/src/limits/stream_silence.cpp
@@ -1,4 +1,4 @@
-#include "limits/stream_watch.h"
+#include "limits/stream_silence.h"
 
 #include <algorithm>
 
--- a/src/net/link.cpp
+++ b/src/net/line_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/link.h"
+#include "net/line_connection.h"
 
 #include <event2/listener.h>
 #include <event2/util.h>
--- a/src/node/client_connections.h
+++ b/src/node/client_connections.h
@@ -13,7 +13,7 @@
 
 #include "core/send_guard.h"
 #include "http/message.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/stream.h"
 
 namespace copperfront {
--- a/src/node/late_attempts.h
+++ b/src/node/late_attempts.h
@@ -14,7 +14,7 @@
 
 #include "core/clock.h"
 #include "core/hold_ledger.h"
-#include "core/rules.h"
+#include "core/router.h"
 #include "node/release_pool.h"
 
 namespace copperfront {
--- a/src/node/membership.h
+++ b/src/node/membership.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/rules.h"
-#include "door/names.h"
+#include "core/router.h"
+#include "interning/name_table.h"
 #include "logging/log.h"
 #include "net/address.h"
 #include "net/loop.h"
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -9,16 +9,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 #include "logging/log.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "node/client_connections.h"
 #include "node/discovery.h"
 #include "node/membership.h"
 #include "node/request_log.h"
 #include "node/status_log.h"
 #include "node/upstream_pool.h"
-#include "platform/call.h"
+#include "platform/client_request.h"
 #include "platform/node_terms.h"
 
 namespace copperfront {
--- a/src/node/release_pool.h
+++ b/src/node/release_pool.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "core/hold_ledger.h"
-#include "core/rules.h"
+#include "core/router.h"
 #include "core/send_guard.h"
 
 namespace copperfront {
--- a/src/node/request_log.h
+++ b/src/node/request_log.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "core/hold_ledger.h"
-#include "core/rules.h"
+#include "core/router.h"
 #include "core/units.h"
 #include "logging/log.h"
 
--- a/src/node/upstream_pool.h
+++ b/src/node/upstream_pool.h
@@ -13,9 +13,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 #include "core/send_guard.h"
-#include "desk/witness.h"
+#include "dispatch/dispatcher_observer.h"
 #include "http/message.h"
 #include "net/stream.h"
 #include "node/membership.h"
--- a/src/platform/answers.h
+++ b/src/platform/answers.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/rules.h"
+#include "core/router.h"
 #include "http/message.h"
 
 namespace copperfront::platform {
--- a/src/platform/call.cpp
+++ b/src/platform/client_request.cpp
@@ -1,10 +1,10 @@
-#include "platform/call.h"
+#include "platform/client_request.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-#include "door/names.h"
+#include "interning/name_table.h"
 #include "platform/json.h"
 
 namespace copperfront::platform {
--- a/src/platform/node_terms.cpp
+++ b/src/platform/node_terms.cpp
@@ -1,6 +1,6 @@
 #include "platform/node_terms.h"
 
-#include "door/names.h"
+#include "interning/name_table.h"
 #include "platform/json_member.h"
 #include "platform/list_reader.h"
 
--- a/src/platform/registry.h
+++ b/src/platform/registry.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 #include "platform/json.h"
 
 namespace copperfront::platform {
--- a/src/platform/settings.h
+++ b/src/platform/settings.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core/terms.h"
-#include "door/names.h"
+#include "interning/name_table.h"
 #include "platform/json.h"
 
 namespace copperfront::platform {
--- a/src/record/recorder.cpp
+++ b/src/recording/recorder.cpp
@@ -1,4 +1,4 @@
-#include "record/recorder.h"
+#include "recording/recorder.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/rpc/wire.h
+++ b/src/rpc/wire.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 #include "rpc/message.h"
 
 namespace copperfront::rpc {
--- a/src/day/process.cpp
+++ b/src/scenario/process.cpp
@@ -1,4 +1,4 @@
-#include "day/process.h"
+#include "scenario/process.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/src/day/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -1,4 +1,4 @@
-#include "day/runner.h"
+#include "scenario/runner.h"
 
 #include <signal.h>
 #include <sys/wait.h>
@@ -12,11 +12,11 @@
 #include <stdexcept>
 
 #include "audit/decisions.h"
-#include "day/process.h"
-#include "door/names.h"
-#include "net/link.h"
-#include "record/recorder.h"
+#include "interning/name_table.h"
+#include "net/line_connection.h"
+#include "recording/recorder.h"
 #include "rpc/wire.h"
+#include "scenario/process.h"
 
 namespace copperfront::scenario {
 namespace {
--- a/src/day/runner.h
+++ b/src/scenario/runner.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "audit/audit.h"
-#include "day/script.h"
+#include "scenario/script.h"
 
 namespace copperfront::scenario {
 
--- a/src/day/callers.cpp
+++ b/src/scenario/scenario_clients.cpp
@@ -1,4 +1,4 @@
-#include "day/callers.h"
+#include "scenario/scenario_clients.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,9 +8,9 @@
 #include <random>
 #include <unordered_map>
 
-#include "door/names.h"
-#include "net/link.h"
-#include "record/recorder.h"
+#include "interning/name_table.h"
+#include "net/line_connection.h"
+#include "recording/recorder.h"
 #include "rpc/wire.h"
 
 namespace copperfront::scenario {
--- a/src/day/callers.h
+++ b/src/scenario/scenario_clients.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "day/script.h"
+#include "scenario/script.h"
 
 namespace copperfront::scenario {
 
--- a/src/day/script.cpp
+++ b/src/scenario/script.cpp
@@ -1,4 +1,4 @@
-#include "day/script.h"
+#include "scenario/script.h"
 
 #include <algorithm>
 #include <filesystem>
--- a/src/watching/watching.cpp
+++ b/src/shadow/shadow_evaluation.cpp
@@ -1,4 +1,4 @@
-#include "watching/watching.h"
+#include "shadow/shadow_evaluation.h"
 
 namespace copperfront {
 
--- a/src/watching/watching.h
+++ b/src/shadow/shadow_evaluation.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 
 namespace copperfront {
 
--- a/src/soak/cpu_share.h
+++ b/src/soak/cpu_share.h
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "day/process.h"
 #include "net/loop.h"
+#include "scenario/process.h"
 
 namespace copperfront::soak {
 
--- a/src/soak/fault_proxy.h
+++ b/src/soak/fault_proxy.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/loop.h"
 #include "net/stream.h"
 
--- a/src/soak/fleet.h
+++ b/src/soak/fleet.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "day/process.h"
+#include "fakes/fake_platform.h"
 #include "net/loop.h"
+#include "scenario/process.h"
 #include "soak/cpu_share.h"
 #include "soak/fault_proxy.h"
 #include "soak/load_client.h"
 #include "soak/records.h"
-#include "standin/platform.h"
 
 namespace copperfront::soak {
 
--- a/src/soak/model_server.cpp
+++ b/src/soak/model_server.cpp
@@ -9,11 +9,11 @@
 #include <random>
 #include <stdexcept>
 
+#include "fakes/held_states.h"
+#include "fakes/response_text.h"
 #include "http/message.h"
 #include "net/stream.h"
 #include "soak/records.h"
-#include "standin/held_states.h"
-#include "standin/response_text.h"
 
 namespace copperfront::soak {
 namespace {
--- a/src/soak/model_server.h
+++ b/src/soak/model_server.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "core/terms.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/loop.h"
 
 namespace copperfront::soak {
--- a/src/terms/terms_file.h
+++ b/src/terms/terms_file.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/terms.h"
-#include "door/names.h"
+#include "interning/name_table.h"
 #include "routes/route_table.h"
 #include "sexpr/schema.h"
 #include "trace/keeping.h"
--- a/src/trace/rows.h
+++ b/src/trace/rows.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "door/names.h"
+#include "interning/name_table.h"
 
 namespace copperfront::trace {
 
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/rules.h"
-#include "door/names.h"
+#include "core/router.h"
+#include "interning/name_table.h"
 #include "platform/settings.h"
 
 namespace copperfront {
--- a/tests/core/cold_fleet_test.cpp
+++ b/tests/core/cold_fleet_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <queue>
 
-#include "fake_host.h"
+#include "fake_router_host.h"
 
 using namespace copperfront;
 
--- a/tests/core/connection_count_test.cpp
+++ b/tests/core/connection_count_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "fake_host.h"
+#include "fake_router_host.h"
 
 namespace copperfront {
 namespace {
--- a/tests/core/fake_host.h
+++ b/tests/core/fake_router_host.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/rules.h"
+#include "core/router.h"
 
 namespace copperfront {
 
--- a/tests/core/kept_servers_test.cpp
+++ b/tests/core/kept_servers_test.cpp
@@ -3,7 +3,7 @@
 
 #include <random>
 
-#include "fake_host.h"
+#include "fake_router_host.h"
 
 namespace copperfront {
 namespace {
--- a/tests/core/repeats_test.cpp
+++ b/tests/core/repeats_test.cpp
@@ -1,7 +1,7 @@
 // Requests that may have taken effect: where and until when they may be sent again.
 #include <gtest/gtest.h>
 
-#include "fake_host.h"
+#include "fake_router_host.h"
 
 namespace copperfront {
 namespace {
--- a/tests/core/rules_test.cpp
+++ b/tests/core/router_test.cpp
@@ -1,5 +1,5 @@
 // Short scenarios for the router, one for each kind of fault.
-#include "fake_host.h"
+#include "fake_router_host.h"
 
 using namespace copperfront;
 
--- a/tests/desk/desk_test.cpp
+++ b/tests/dispatch/dispatcher_test.cpp
@@ -1,11 +1,11 @@
 // Tests of the dispatcher with the real router and a fake host.
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 
 #include <cassert>
 #include <string>
 #include <vector>
 
-#include "fake_outside.h"
+#include "fake_dispatcher_host.h"
 
 using namespace copperfront;
 
--- a/tests/desk/fake_outside.h
+++ b/tests/dispatch/fake_dispatcher_host.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 
 namespace copperfront {
 
--- a/tests/desk/play_test.cpp
+++ b/tests/dispatch/play_test.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <string>
 
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
 #include "terms/terms_file.h"
 
 using namespace copperfront;
--- a/tests/explore/hold_explorer_test.cpp
+++ b/tests/explore/hold_explorer_test.cpp
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <unordered_set>
 
-#include "hold_world.h"
+#include "hold_simulation.h"
 
 namespace copperfront::explore {
 namespace {
--- a/tests/explore/hold_world.cpp
+++ b/tests/explore/hold_simulation.cpp
@@ -1,4 +1,4 @@
-#include "hold_world.h"
+#include "hold_simulation.h"
 
 #include <algorithm>
 #include <numeric>
--- a/tests/explore/hold_world.h
+++ b/tests/explore/hold_simulation.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "desk/desk.h"
+#include "dispatch/dispatcher.h"
+#include "fakes/held_states.h"
 #include "node/releases.h"
-#include "standin/held_states.h"
 
 namespace copperfront::explore {
 
--- a/tests/standin/held_states_test.cpp
+++ b/tests/fakes/held_states_test.cpp
@@ -1,5 +1,5 @@
 // Tests the model of the states that model servers hold, with both of its stores.
-#include "standin/held_states.h"
+#include "fakes/held_states.h"
 
 #include <gtest/gtest.h>
 #include <sys/wait.h>
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "standin/engine_server.h"
-#include "standin/roster_server.h"
+#include "fakes/fake_model_server.h"
+#include "fakes/fake_roster.h"
 
 using namespace copperfront;
 
--- a/tests/gateway/engines_test.cpp
+++ b/tests/gateway/server_connections_test.cpp
@@ -1,5 +1,5 @@
 // Connections to model servers on real sockets, against scripted servers that misbehave in different ways.
-#include "gateway/engines.h"
+#include "gateway/server_connections.h"
 
 #include <cassert>
 #include <cstdio>
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "tests/node/raw_client.h"
 
 namespace copperfront {
--- a/tests/net/watch_failure_test.cpp
+++ b/tests/net/watch_failure_test.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/stream.h"
 #include "tests/node/raw_client.h"
 
--- a/tests/node/gateway_fixture.h
+++ b/tests/node/gateway_fixture.h
@@ -5,9 +5,9 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "fakes/fake_platform.h"
 #include "node/node.h"
 #include "stalled_peers.h"
-#include "standin/platform.h"
 
 namespace copperfront {
 
--- a/tests/node/large_fleet.h
+++ b/tests/node/large_fleet.h
@@ -15,8 +15,8 @@
 #include <optional>
 #include <set>
 
-#include "day/process.h"
 #include "gateway_fixture.h"
+#include "scenario/process.h"
 #include "soak/cpu_share.h"
 
 namespace copperfront {
--- a/tests/node/scripted_server.h
+++ b/tests/node/scripted_server.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "http/message.h"
-#include "net/link.h"
+#include "net/line_connection.h"
 #include "net/stream.h"
 
 namespace copperfront {
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "platform/answers.h"
-#include "platform/call.h"
+#include "platform/client_request.h"
 #include "platform/json_member.h"
 #include "platform/list_reader.h"
 #include "platform/node_terms.h"
--- a/tests/watching/watching_test.cpp
+++ b/tests/shadow/shadow_evaluation_test.cpp
@@ -1,11 +1,11 @@
 // The shadow evaluation counts what other terms would have decided, and does not affect real decisions.
-#include "watching/watching.h"
+#include "shadow/shadow_evaluation.h"
 
 #include <cassert>
 #include <cstdio>
 #include <vector>
 
-#include "../desk/fake_outside.h"
+#include "../dispatch/fake_dispatcher_host.h"
 
 using namespace copperfront;
 
