--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -33,7 +33,7 @@
         // plain counts every prefix met once would get many preferred servers.
         if (shared_prefix_counts_.size() >= kRememberedPrefixes) shared_prefix_counts_.clear();
         auto& [count, counted_at] = shared_prefix_counts_[info.shared_prefix];
-        count *= std::exp(-seconds(q.arrived_at - counted_at) / kRateWindowS);
+        count *= std::exp(-seconds(q.arrived_at - counted_at) / kRateTimeConstantS);
         matching_pairs_ += count;
         all_pairs_ += recent_arrivals_;
         const double match_rate = (matching_pairs_ + kPriorMatchingPairs) / (all_pairs_ + kPriorPairs);
@@ -100,8 +100,9 @@
     return false;
 }
 
-// Keeps requests from waiting only to be answered too late. A request whose answer was lost is useful up to
-// its deadline: its work is done, and most of it is still cached where it ran.
+// Time until which an answer is still useful; a request that can't be answered by then is ended instead of
+// waiting on. Normally the earlier of latency goal and deadline. After a lost answer it is the deadline: the
+// work is done, and most of it is still cached where it ran.
 Instant Router::useful_until(const RoutedRequest& q) const {
     return q.answer_lost ? q.deadline : std::min(q.goal_deadline, q.deadline);
 }
@@ -122,6 +123,7 @@
 // interval, and those that have not been tried come first.
 void Router::serve_queue(std::deque<std::pair<RequestIndex, std::uint32_t>>& queue, Stage stage) {
     const Duration quick_answer = kMs * (quick_time(prefill_time_) + quick_time(first_token_time_));
+    // Each queue may use half of what is left of the interval's limit, so new requests leave some to retries.
     const std::size_t max_checks = server_checks_ / 2 + kMaxServerChecks / 2;
     for (std::size_t n = queue.size(); n > 0 && server_checks_ < max_checks; --n) {
         const auto [i, serial] = queue.front();
@@ -135,7 +137,8 @@
             end_request(i, terms_.max_retry_after);
             continue;
         }
-        // A prefill whose answer was lost may have left a state on its server, so that is released in time.
+        // A prefill whose answer was lost may have left a state on its server. Its release is requested after
+        // 0.4 of the time limit, to be in time.
         if (q.attempts > 0 && now_ - q.waiting_since >= terms_.release_within * 0.4) {
             host_.release(i);
             q.waiting_since = now_;
--- a/src/core/decode_placement.cpp
+++ b/src/core/decode_placement.cpp
@@ -9,6 +9,7 @@
 namespace copperfront {
 
 // Reports the compared candidates to a trace, if one is kept. No decision depends on this.
+// Always returns true, so that a choice can end with it.
 bool Router::trace_choice(const RoutedRequest& q, ServerIndex chosen, bool is_prefill, const char* why) {
     if (!host_.is_tracing()) return true;
     traced_candidates_.clear();
@@ -45,13 +46,13 @@
     const LocationShare& other_zone = zones_[zone_[s]];
     const double remaining =
         other_zone.spare > 0 ? std::max(0.0, 1 - other_zone.excess / other_zone.spare) : 0.0;
-    return std::max(kMinWeight, spare_in_other_zones_ > 0
-                                    ? excess * (1 - stays_in_zone) * spare * remaining / spare_in_other_zones_
+    return std::max(kMinWeight, net_spare_of_zones_ > 0
+                                    ? excess * (1 - stays_in_zone) * spare * remaining / net_spare_of_zones_
                                     : 0.0);
 }
 
 // The weight is the same for all servers of one cell in one zone, so one choice computes it once for each.
-double Router::place_weight(ServerIndex s, ServerIndex prefill_server) {
+double Router::cached_decode_weight(ServerIndex s, ServerIndex prefill_server) {
     CellWeight& cell = cell_weights_[cell_[s]];
     if (!cell.is_known || cell.zone != zone_[s]) cell = {true, zone_[s], decode_weight(s, prefill_server)};
     return cell.weight;
@@ -72,7 +73,7 @@
 // The learned time fades, as a distance that is avoided yields no new samples.
 double Router::hand_over_time(std::size_t distance) const {
     return hand_over_times_[distance].mean *
-           std::exp(-seconds(now_ - last_hand_over_at_[distance]) / kRateWindowS);
+           std::exp(-seconds(now_ - last_hand_over_at_[distance]) / kRateTimeConstantS);
 }
 
 // Whether an idle connection from this gateway to the server is likely to exist.
@@ -106,7 +107,7 @@
     for (std::size_t n = 0; n < candidates_.size(); ++n) {
         if (candidate_room_[n] < least_room) continue;
         const ServerIndex s = candidates_[n];
-        const double random = random_unit(), weight = place_weight(s, q.state_server);
+        const double random = random_unit(), weight = cached_decode_weight(s, q.state_server);
         // A score is at least random / weight, so most logarithms are skipped.
         if (random / weight >= lowest) continue;
         const double score = weighted_score(random, weight);
--- a/src/core/helpers.h
+++ b/src/core/helpers.h
@@ -40,8 +40,8 @@
     return static_cast<double>(bits >> 11) / 9007199254740992.0;
 }
 
-// An exponential variate from a uniform one in [0, 1). The lowest of several falls on each of them in
-// proportion to its weight, as in weighted rendezvous hashing.
+// Exponential variate with rate `weight`, from a uniform one in [0, 1). Among several, each is the lowest
+// with a probability proportional to its weight, as in weighted rendezvous hashing.
 inline double weighted_score(double random, double weight) { return -std::log(1 - random) / weight; }
 
 // Cache that keeps the newest entries in two generations of bounded size: a full generation replaces the
@@ -68,8 +68,10 @@
     std::unordered_map<std::uint64_t, Value> current_, previous_;
 };
 
-// A note from one gateway to the others: a letter, the last five hexadecimal digits of a server's name hash,
-// and a decimal value. It is kept to a few bytes, as each one is charged.
+// A note from one gateway to the others: a letter for its type, the last five hexadecimal digits of a
+// server's name hash, and a decimal value. It is kept to a few bytes, as each byte is charged. 'w': stream
+// tokens sent to the server, in units of kTokensPerNoteUnit. 'u': the server leaves category `value`
+// unanswered. 'a': it answers that category again.
 struct PeerNote {
     char type = 0;
     std::uint32_t server_hash = 0, value = 0;
--- a/src/core/hold_ledger.cpp
+++ b/src/core/hold_ledger.cpp
@@ -90,7 +90,7 @@
     std::erase_if(request->entries,
                   [](const Entry& entry) { return entry.reason == HoldReason::prefill_answered; });
     // The attempt has answered, so the time limit is suspended until its end.
-    request->lease_released = true;
+    request->lease_paused = true;
 }
 
 void HoldLedger::attempt_ended(RequestKey key, AttemptId attempt, Ending ending, Instant now) {
@@ -127,24 +127,24 @@
 void HoldLedger::add_entry(Request& request, const Attempt& attempt, HoldReason reason, Instant since) {
     if (request.entries.empty()) {
         request.lease_since = since;
-        request.lease_released = false;
+        request.lease_paused = false;
     }
-    if (!request.lease_released) request.lease_since = std::min(request.lease_since, since);
+    if (!request.lease_paused) request.lease_since = std::min(request.lease_since, since);
     request.entries.push_back({attempt.server, attempt.id, reason, since, false});
 }
 
 // An answer proves that the attempt had arrived, so the time limit restarts in full.
 void HoldLedger::record_answered_end(Request& request, Instant now) {
     request.lease_since = now;
-    request.lease_released = false;
+    request.lease_paused = false;
 }
 
 // If the attempt had arrived, the time limit restarts now. If it had not, the running lease continues; once a
 // release has been answered at its end, only the first case is left.
 void HoldLedger::record_unanswered_end(Request& request, const Attempt& attempt, Instant now) {
-    if (request.lease_released) {
+    if (request.lease_paused) {
         request.lease_since = now;
-        request.lease_released = false;
+        request.lease_paused = false;
     }
     request.closes_arrived_at = std::max(request.closes_arrived_at, now + SendGuard::close_travel_time());
     request.repeat_needed = true;
@@ -194,9 +194,9 @@
     const bool all_wanted = std::all_of(request->entries.begin(), request->entries.end(),
                                         [](const Entry& entry) { return entry.release_wanted; });
     if (!request->in_flight.empty() || !all_wanted) {
-        const bool leased = request->lease_released || !has_lease() || now < lease_end(key) ||
-                            is_sabotaged(Sabotage::lease_never_ends);
-        return leased ? Need::not_yet : Need::due;
+        const bool must_wait = request->lease_paused || !has_lease() || now < lease_end(key) ||
+                               is_sabotaged(Sabotage::lease_never_ends);
+        return must_wait ? Need::not_yet : Need::due;
     }
     const bool overtakes = is_sabotaged(Sabotage::release_overtakes_close);
     if (now < request->closes_arrived_at && !overtakes) return Need::close_in_flight;
@@ -224,12 +224,12 @@
                                        !is_sabotaged(Sabotage::release_counts_while_waiting);
     result.held_since = request->lease_since;
     if (attempt_was_in_flight) {
-        record(*request, now, Event::Kind::release_proves_nothing, by);
+        record(*request, now, Event::Kind::release_answered_during_attempt, by);
         request->unusual = true;
-        if (request->lease_released || written < lease_end(key)) return result;
+        if (request->lease_paused || written < lease_end(key)) return result;
         // An attempt that ended without an answer may still leave a state, so another lease starts.
-        request->lease_released = request->unanswered.empty();
-        if (!request->lease_released) request->lease_since = now;
+        request->lease_paused = request->unanswered.empty();
+        if (!request->lease_paused) request->lease_since = now;
         if (is_sabotaged(Sabotage::lease_release_ends_hold)) request->entries.clear();
         result.proof = Proof::lease_only;
         if (now - *result.held_since > release_within_) result.history = history(key);
@@ -306,7 +306,7 @@
             case Event::Kind::release_answered:
                 description = "release answered by";
                 break;
-            case Event::Kind::release_proves_nothing:
+            case Event::Kind::release_answered_during_attempt:
                 description = "release with an attempt out answered by";
                 break;
         }
--- a/src/core/hold_ledger.h
+++ b/src/core/hold_ledger.h
@@ -7,10 +7,10 @@
 // a running server has answered. A release that was written while an attempt may be waiting for the state has
 // to be sent again after that attempt's end.
 //
-// Only its answer shows that a call has reached a running server. Until then both cases are covered: if the
-// call has not arrived it stops no clock, so a release is due at the end of the lease whatever attempt is in
-// flight; if it has arrived, the time limit restarts in full with its outcome, so a release is due after that
-// as well.
+// Only its answer shows that an attempt has reached a running server. Until then both cases are covered. If
+// the attempt has not arrived, the time limit of the state goes on running, so a release is due at the end of
+// the lease (the first part of the time limit, see kLeaseShare) even with an attempt in flight. If it has
+// arrived, the full time limit starts again when the attempt ends, so another release is due after that.
 //
 // Does no I/O and has no clock of its own.
 #pragma once
@@ -90,7 +90,7 @@
     void want_release(RequestKey key, AttemptId attempt);
     enum class Need {
         nothing,          // no state is held
-        not_yet,          // an attempt may be waiting for the state, or its lease is running
+        not_yet,          // an attempt may take the state, its lease is running, or a repeat is not due yet
         close_in_flight,  // the close of an attempt may not have reached its server
         due,
     };
@@ -100,15 +100,18 @@
     // What the answer to a release proves.
     enum class Proof {
         nothing,
-        lease_only,     // an attempt may have been waiting for the state: to be repeated after its end
+        // Written after the end of the lease, while an attempt may have been waiting for the state: ends this
+        // lease, but the release is to be repeated after the attempt's end.
+        lease_only,
         repeat_needed,  // released; to be repeated once, as an attempt ended without an answer
         released,       // no state is held any more
     };
     struct ReleaseResult {
         Proof proof = Proof::nothing;
-        std::optional<Instant> held_since;          // start of the time limit; none: nothing was held
-        std::vector<UnansweredAttempt> unanswered;  // of the request; only with Proof::let_go
-        std::string history;                        // of the request, if its course was unusual
+        std::optional<Instant> held_since;  // start of the time limit; none: nothing was held
+        // Of the request; filled with Proof::released and by abandon().
+        std::vector<UnansweredAttempt> unanswered;
+        std::string history;  // of the request, if its course was unusual
     };
     // A running server has answered a release that was written at `written`.
     ReleaseResult release_answered(RequestKey key, ServerIndex by, Instant written, Instant now);
@@ -144,7 +147,7 @@
             attempt_ended,
             release_written,
             release_answered,
-            release_proves_nothing,
+            release_answered_during_attempt,
         };
         Instant at;
         Kind kind = Kind::prefill_started;
@@ -156,13 +159,15 @@
         std::vector<Attempt> in_flight;
         std::vector<Entry> entries;
         std::vector<UnansweredAttempt> unanswered;
-        Instant lease_since;          // start of the running lease
-        bool lease_released = false;  // a release has been answered since the end of the lease
-        Instant last_ended;           // when an attempt last ended
-        Instant closes_arrived_at;    // from then on every ended attempt has ended on its server too
-        Instant repeat_not_before;    // earliest time of the repeated release
-        bool repeat_needed = false;   // an attempt ended without an answer
-        bool unusual = false;         // a release met an attempt that may have been waiting
+        Instant lease_since;  // start of the running lease
+        // No lease is running: a release was answered after its end, or a stream has begun. The end of an
+        // attempt that was sent starts a new lease.
+        bool lease_paused = false;
+        Instant last_ended;          // when an attempt last ended
+        Instant closes_arrived_at;   // from then on every ended attempt has ended on its server too
+        Instant repeat_not_before;   // earliest time of the repeated release
+        bool repeat_needed = false;  // an attempt ended without an answer
+        bool unusual = false;        // a release met an attempt that may have been waiting
         std::vector<Event> events;
         std::uint32_t events_omitted = 0;
     };
--- a/src/core/load_estimates.cpp
+++ b/src/core/load_estimates.cpp
@@ -8,9 +8,9 @@
 
 namespace copperfront {
 
-// A server may be asked for its report more often than it makes one. The same figure again counts as the same
-// report. A new report includes at the earliest what was sent before the last answer that still carried the
-// old one.
+// A server may be asked for its report more often than it makes one. An unchanged figure counts as the same
+// report. The time of a new report is unknown: it is taken to cover only what was sent before the last answer
+// that carried the old figure, and what was sent since then is added to it.
 void Router::note_report(ServerIndex s, const LoadReport& report) {
     const auto take_figure = [](double figure, double& last_reported, ExponentialAverage& average,
                                 double& since_report, double& since_answer) {
@@ -65,7 +65,7 @@
 }
 
 double Router::share_still_running(Instant since) const {
-    const double stream_seconds = stream_time_.mean > 0 ? stream_time_.mean / 1000 : kRateWindowS;
+    const double stream_seconds = stream_time_.mean > 0 ? stream_time_.mean / 1000 : kRateTimeConstantS;
     return std::exp(-seconds(now_ - since) / stream_seconds);
 }
 
@@ -114,9 +114,10 @@
     const bool is_current = !memory_reported_ && servers_with_room_.is_valid(now_);
     if (!is_current) {
         servers_with_room_.rebuild(ready_decode_, [this](ServerIndex s) {
-            if (ejected_until_[s] > now_) servers_with_room_.valid_until(ejected_until_[s]);
-            if (full_at_[s] + kFullBackoff > now_) servers_with_room_.valid_until(full_at_[s] + kFullBackoff);
-            if (is_cold(s)) servers_with_room_.valid_until(started_at_[s] + terms_.warm_up_time);
+            if (ejected_until_[s] > now_) servers_with_room_.limit_validity(ejected_until_[s]);
+            if (full_at_[s] + kFullBackoff > now_)
+                servers_with_room_.limit_validity(full_at_[s] + kFullBackoff);
+            if (is_cold(s)) servers_with_room_.limit_validity(started_at_[s] + terms_.warm_up_time);
             return has_room(s);
         });
     }
@@ -141,8 +142,8 @@
     if (!prefill_candidates_.is_valid(now_)) {
         prefill_candidates_.rebuild(ready_prefill_, [this](ServerIndex s) {
             const Instant full_until = full_at_[s] + kFullBackoff;
-            if (full_until > now_) prefill_candidates_.valid_until(full_until);
-            if (is_cold(s)) prefill_candidates_.valid_until(started_at_[s] + terms_.warm_up_time);
+            if (full_until > now_) prefill_candidates_.limit_validity(full_until);
+            if (is_cold(s)) prefill_candidates_.limit_validity(started_at_[s] + terms_.warm_up_time);
             return may_receive(s) && full_until <= now_;
         });
     }
@@ -152,17 +153,17 @@
 const std::vector<ServerIndex>& Router::decode_candidates() {
     if (!decode_candidates_.is_valid(now_)) {
         decode_candidates_.rebuild(ready_decode_, [this](ServerIndex s) {
-            if (is_cold(s)) decode_candidates_.valid_until(started_at_[s] + terms_.warm_up_time);
+            if (is_cold(s)) decode_candidates_.limit_validity(started_at_[s] + terms_.warm_up_time);
             return may_receive(s);
         });
     }
     return decode_candidates_.servers();
 }
 
-// Expected prefill time per queued token, from recent prefills and the tokens that this gateway had queued:
-// at this server while that is fresh, otherwise over the whole role. Both fade; otherwise an overload that
-// has ended would still count. A server that reports its queue shows an overload by itself; single reports
-// are far off, so the pace is then that of all prefills together.
+// Expected prefill time per queued token. Servers that report their queue: the mean of all prefills, as a
+// single report is inaccurate and the queue itself shows an overload. Other servers: the pace measured at
+// this server from recent prefills and the tokens that this gateway had queued. It decays towards the pace of
+// the role, which decays towards 0; otherwise an overload that has ended would still count.
 double Router::current_pace(ServerIndex s, Duration goal) const {
     if (queue_by_kind_[kind_[s]].samples > 0)
         return tokens_per_prefill_.samples < kMinPaceSamples ? 0.0
@@ -174,12 +175,12 @@
 
 // Pace of the whole role. The result is cached, as many servers are compared for the same request.
 double Router::role_pace(Duration goal) const {
-    if (role_log_paces_[1].samples == 0) return 0;
+    if (log_paces_by_attempt_[1].samples == 0) return 0;
     RolePace& cached = role_pace_;
-    if (cached.at != now_ || cached.goal != goal || cached.samples != role_log_paces_[1].samples) {
-        const double pace = std::exp(role_log_paces_[1].mean) *
+    if (cached.at != now_ || cached.goal != goal || cached.samples != log_paces_by_attempt_[1].samples) {
+        const double pace = std::exp(log_paces_by_attempt_[1].mean) *
                             std::exp((role_pace_measured_at_ - now_) / goal / kPaceFadeGoals);
-        cached = {now_, goal, role_log_paces_[1].samples, pace};
+        cached = {now_, goal, log_paces_by_attempt_[1].samples, pace};
     }
     return cached.pace;
 }
--- a/src/core/location_shares.cpp
+++ b/src/core/location_shares.cpp
@@ -22,7 +22,7 @@
     const bool had_prefill_servers = std::exchange(has_prefill_servers_, false);
     for (ServerIndex s = 0; s < server_count_; ++s)
         has_prefill_servers_ |= is_ready(s) && role_[s] == Role::prefill;
-    // Mixed servers are judged by the other pace from now on.
+    // From now on mixed servers are judged by the other kind of attempt (prefills or hand-overs).
     for (ServerIndex s = 0; s < server_count_ && had_prefill_servers != has_prefill_servers_; ++s)
         if (role_[s] == Role::mixed) pace_samples_[s] = 0;
     for (ServerIndex s = 0; s < server_count_; ++s) {
@@ -38,7 +38,7 @@
     for (LocationShare& cell : cells_) {
         cell.prefill_share /= std::max(1.0, prefill_servers);
         cell.decode_share /= std::max(1.0, decode_servers);
-        cell.prefill_work = std::min(kPrefillStretch * cell.prefill_share, cell.decode_share);
+        cell.prefill_work = std::min(kMaxPrefillShareFactor * cell.prefill_share, cell.decode_share);
         total_work += cell.prefill_work;
     }
     for (LocationShare& cell : cells_) {
@@ -51,10 +51,11 @@
         zones_[cell.zone].spare += std::max(0.0, cell.decode_share - cell.prefill_work);
     }
     role_sizes_ = {decode_servers, prefill_servers};
-    spare_in_other_zones_ = spare_prefill_ = 0;
+    net_spare_of_zones_ = prefill_above_equal_share_ = 0;
     for (const LocationShare& zone : zones_) {
-        spare_in_other_zones_ += std::max(0.0, zone.spare - zone.excess);
-        spare_prefill_ += std::max(0.0, zone.prefill_work - 1.0 / static_cast<double>(zones_.size()));
+        net_spare_of_zones_ += std::max(0.0, zone.spare - zone.excess);
+        prefill_above_equal_share_ +=
+            std::max(0.0, zone.prefill_work - 1.0 / static_cast<double>(zones_.size()));
     }
     prefill_weights_.resize(server_count_);
     for (ServerIndex s = 0; s < server_count_; ++s) prefill_weights_[s] = compute_prefill_weight(s);
--- a/src/core/prefill_placement.cpp
+++ b/src/core/prefill_placement.cpp
@@ -9,9 +9,10 @@
 
 // Prefix-cache affinity by weighted rendezvous hashing: all gateways prefer the same server for a prefix, so
 // that server most likely prefilled it last. Without it every gateway would prefill the prefix somewhere
-// else. A prefix that many sessions share has as many preferred servers as its share of the traffic keeps
-// busy, and the session selects one of them. The weight is the share of the server's work that belongs to
-// this gateway's zone; otherwise a zone with few prefill servers would be overloaded.
+// else. A prefix that many sessions share has kPreferredPerBusyServer preferred servers for each server that
+// its traffic keeps busy, and the session selects one of them. A server's weight is the part of its prefill
+// work that is meant for requests from this gateway's zone; without it a zone with few prefill servers would
+// be overloaded.
 double Router::affinity_score(const RoutedRequest& q, ServerIndex s) {
     const std::uint64_t prefix = q.info.shared_prefix != 0 ? q.info.shared_prefix : q.info.session;
     const double random =
@@ -27,8 +28,9 @@
     const double cell_weight = cell.prefill_work / cell.prefill_share;
     if (zone_[s] == terms_.zone) return std::max(kMinWeight, cell_weight * std::min(1.0, target / its_zone));
     const double excess = std::max(0.0, target - own_zone), spare = std::max(0.0, its_zone - target);
-    return std::max(kMinWeight,
-                    spare_prefill_ > 0 ? cell_weight * excess * spare / spare_prefill_ / its_zone : 0.0);
+    return std::max(kMinWeight, prefill_above_equal_share_ > 0
+                                    ? cell_weight * excess * spare / prefill_above_equal_share_ / its_zone
+                                    : 0.0);
 }
 
 std::size_t Router::preferred_rank(const RoutedRequest& q, double total_weight) const {
@@ -68,7 +70,7 @@
 
 bool Router::pick_prefill_server(const RoutedRequest& q, ServerIndex& best) {
     const CachedPrefixes prefixes = cached_prefixes_of(q);
-    bool any_able = false;  // some server can prefill and is not ejected
+    bool any_candidates = false;  // an earlier pass, or this one, had candidates
     // Pass 0: prefill servers. Pass 1: mixed servers. Pass 2: also servers that this request has just found
     // failing, and decode servers that can prefill if no other server is able to. Pass 3: also ejected
     // servers.
@@ -78,7 +80,7 @@
             const bool fits_role =
                 pass == 0   ? does_prefill(s)
                 : pass == 1 ? role_[s] == Role::mixed
-                            : role_[s] != Role::decode || (terms_.decode_servers_prefill && !any_able);
+                            : role_[s] != Role::decode || (terms_.decode_servers_prefill && !any_candidates);
             any_other_role |= !fits_role;
             if (!fits_role || !may_run_on(q, s) || !may_receive(s)) return false;
             if (pass < 3 && !is_available_to(q, s)) {
@@ -96,7 +98,7 @@
             least = std::min(least, queued_prompt_tokens(s));
             total_weight += prefill_weight(s);
         };
-        if (pass >= 2 && terms_.decode_servers_prefill && !any_able) {
+        if (pass >= 2 && terms_.decode_servers_prefill && !any_candidates) {
             server_checks_ += server_count_;
             for (ServerIndex s = 0; s < server_count_; ++s) consider(s);
         } else {
@@ -105,7 +107,7 @@
             for (const ServerIndex s : candidates) consider(s);
         }
         if (candidates_.empty()) continue;
-        any_able = true;
+        any_candidates = true;
         double preferred_load = kInfinite, preferred_uncached = 0;
         const double typical_prompt = prompt_length_.mean;
         const auto keeps_affinity = [&](ServerIndex s, double cached) {
@@ -132,7 +134,8 @@
             preferred_load = queued_prompt_tokens(best);
         }
         // Prevents self-reinforcing overload: prefilling a cached prefix again elsewhere costs more than it
-        // saves unless the preferred server's queue is longer by much more than that.
+        // saves unless the preferred server's queue is longer by at least kAffinityLeaveFactor times the
+        // tokens that would be prefilled again.
         std::erase_if(candidates_, [&](ServerIndex s) {
             const double cached = expected_cached_tokens(q, prefixes, s),
                          extra = q.info.prompt_tokens - cached - preferred_uncached;
@@ -156,8 +159,8 @@
 
 // Whether a prefill would end past the latency goal or the client's deadline. Under overload such a prefill
 // only makes those behind it late as well. Prompts with a cached prefix pass more easily, as they cost the
-// least for the same gain. Without own attempts at the server, a long prompt counts as a typical one, or it
-// would never pass.
+// least for the same gain. If this gateway has no unanswered attempt at the server, a prompt counts with at
+// most twice the mean prompt length; otherwise a very long prompt would never pass.
 bool Router::is_prefill_late(const RoutedRequest& q, double cached, ServerIndex s) const {
     const double pace = current_pace(s, q.goal_deadline - q.arrived_at);
     const double cached_share = cached / std::max(1.0, q.info.prompt_tokens);
--- a/src/core/release_policy.h
+++ b/src/core/release_policy.h
@@ -16,16 +16,18 @@
 inline constexpr Duration kReleaseCallTimeout{400000};  // for one call, including connecting
 inline constexpr Duration kReleaseTimeout{10000000};
 inline constexpr std::size_t kMaxConcurrentCalls = 24;
-// After this many unanswered calls most of the fleet hangs: from then on only a few are made at a time.
+// After this many unanswered calls most of the fleet is assumed to hang: from then on only a few are made at
+// a time.
 inline constexpr std::uint32_t kSlowRoundThreshold = 64;
 inline constexpr std::uint32_t kCallsPerSlowRound = 2;
 inline constexpr Duration kNextSlowRoundDelay{200000};
 // Delay of a release after an attempt that may be followed immediately by another one of the same request.
-inline constexpr Duration kFollowUpDelay{50000};
+inline constexpr Duration kDelayBeforeRelease{50000};
 // A server may hang once a message has been unanswered, and nothing received from it, for this long.
 inline constexpr Duration kSuspectHungAfter{150000};
 
-// Attempts that ended without an answer on a server that has sent nothing since.
+// Attempts that ended without an answer on a server that has sent nothing since. They are followed: their
+// server is called until it answers, then releases are sent to it.
 inline constexpr Duration kMaxFollowTime{30000000};
 inline constexpr Duration kMaxFollowTimeAfterRemoval{10000000};  // once its server is no longer in the list
 inline constexpr Duration kFollowCallTimeout{600000};  // then the server is called on another connection
@@ -33,6 +35,7 @@
 // Once its server answers, a prefill may still take a while: a release is sent after the first delay, then at
 // intervals shorter than the time a state may be held. A hand-over ends as soon as the server sees its close.
 inline constexpr Duration kFirstReleaseDelay{250000}, kNextReleaseDelay{700000};
+// Releases that the server answers before an attempt is no longer followed.
 inline constexpr std::uint32_t kMaxPrefillAnswers = 4, kMaxHandOverAnswers = 2;
 
 // Returns the stride with which servers that have never answered are called in a list of `entries`: each is
--- a/src/core/retries.cpp
+++ b/src/core/retries.cpp
@@ -66,6 +66,7 @@
         RoutedRequest& q = requests_[i];
         if (q.serial != serial || q.stage != Stage::waiting_for_decode) continue;
         ServerIndex s = 0;
+        // After 0.4 of the time limit, decode servers that show no room are tried as well.
         const bool is_exhausted = q.attempts >= attempt_limit(q);
         if (!is_exhausted && (now_ - q.waiting_since >= terms_.release_within * 0.4 || any_decode_room(q)) &&
             pick_decode_server(q, s)) {
@@ -80,7 +81,8 @@
     if (!waiting_for_decode_.empty()) schedule_sweep(kMs * 20);
 }
 
-// A request may have a tighter limit of its own, and each further attempt is charged to its retry budget.
+// Most attempts of the request: the limit of the terms, or a tighter one of its own. The retry budget is
+// separate, see Host::may_attempt_again().
 std::uint32_t Router::attempt_limit(const RoutedRequest& q) const {
     const std::uint32_t limit = q.info.max_attempts;
     return limit > 0 ? std::min(limit, terms_.max_attempts) : terms_.max_attempts;
@@ -99,8 +101,9 @@
     end_request(i, terms_.max_retry_after * 0.25);
 }
 
-// Gives the final answer at once. A rejection tells the client that sending the request again is harmless,
-// for as long as a further attempt of the client may take.
+// Gives the final answer at once: a rejection if the client may safely send the request again, otherwise
+// Host::abandon(). A receipted request that may have run is safe to repeat only if its servers still remember
+// it for max_retry_after (the client's longest wait) and time_budget (the duration of the repeat).
 void Router::end_request(RequestIndex i, Duration retry_after) {
     RoutedRequest& q = requests_[i];
     const Category& c = terms_.categories[q.info.category];
@@ -112,8 +115,8 @@
     finish(i);
 }
 
-// No answer releases a state, so the end of every request does; a state that an attempt still in flight
-// brings back is released then.
+// The final answer to the client does not free a state that a server holds, so a release is requested at the
+// end of every request. If an attempt still in flight leaves a state, attempt_ended() requests its release.
 void Router::finish(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     if (q.in_flight && terms_.cancel && q.stage != Stage::streaming) host_.cancel_attempt(i, q.attempts - 1);
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -1,8 +1,8 @@
 // The events of one gateway and what follows from each; router.h has a method for each event. The ordinary
 // path is that of docs/design.md: a request goes to the prefill server with the fewest queued prompt tokens
 // (or the one with its prefix cached), waits before its prefill while no decode server shows room, and from
-// the end of the prefill goes to the decode server with the most free memory. Everything else handles a named
-// fault. The decisions are in files of their own beside this one.
+// the end of the prefill goes to the decode server with the most free memory. All other code handles faults;
+// each place says which. The decisions are in files of their own beside this one.
 #include "router.h"
 
 #include <algorithm>
@@ -84,8 +84,8 @@
         queued_since_answer_[s] = streams_since_answer_[s] = outlier_score_[s] = failure_rate_[s] = pace_[s] =
             0;
     pace_samples_[s] = unanswered_attempts_[s] = 0;
-    // A random start: many gateways together send what one rate allows, even where each may send less than
-    // one request.
+    // A random start credit spreads the first requests of many gateways over time, so that together they send
+    // what the rate allows even where the share of each is less than one request.
     slow_start_credit_[s] = random_unit();
     slow_start_refilled_at_[s] = now_;
 }
@@ -282,9 +282,10 @@
         q.avoided_servers.clear();
         hand_over(i);
     } else {
-        // A lost answer: the prefix is likely to be cached at that prefill server now, and the state to have
-        // left for that decode server, so the prefill server is not avoided. A server that is silent may
-        // hang, so the prompt is prefilled elsewhere.
+        // A prefill server whose connection was lost during the prefill is not avoided: the prefix is likely
+        // to be cached there now. Every other failed server is avoided, also after a cancellation: a silent
+        // server may hang, so the prompt is prefilled elsewhere. After the lost answer of a hand-over the
+        // state has probably been transferred already, so it is released.
         if (!is_prefill || e != Ending::connection_lost) q.avoided_servers.push_back(s);
         if (e == Ending::connection_lost || e == Ending::cancelled) {
             q.answer_lost = true;
@@ -346,6 +347,7 @@
         RoutedRequest& q = requests_[i];
         if (q.serial % (1U << 30) != serial || q.stage == Stage::finished || q.stage == Stage::streaming)
             return;
+        // No first token by the deadline counts as 1.5 latency goals; 0.05: weight of a sample.
         goal_usage_ += 0.05 * (1.5 - goal_usage_);
         end_request(i, Duration{0});
         return serve_queues();
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -134,7 +134,7 @@
 // Shares of the fleet that a cell or a zone holds.
 struct LocationShare {
     double prefill_share = 0, decode_share = 0;
-    double prefill_work = 0;  // target share of all prefills for its prefill servers
+    double prefill_work = 0;  // target share of all prefills that its prefill servers get
     // Of a zone: prefill work of its cells beyond their decode share, and decode share beyond their work.
     double excess = 0, spare = 0;
     std::uint16_t zone = 0;  // of a cell
@@ -165,7 +165,8 @@
         Instant oldest;  // arrival of the request that has waited longest; valid if there is any
     };
     Waiting waiting() const;
-    // Discards the cached subsets of servers, which changes no decision. For tests that compare.
+    // Discards the cached subsets of servers, which changes no decision. For tests that compare decisions
+    // with and without the cache.
     void invalidate_server_subsets() { listed_servers_changed(); }
 
   private:
@@ -218,7 +219,7 @@
     ServerIndex preferred_server(const RoutedRequest& q, double total_weight);
     std::size_t preferred_rank(const RoutedRequest& q, double total_weight) const;
     double decode_weight(ServerIndex s, ServerIndex prefill_server) const;
-    double place_weight(ServerIndex s, ServerIndex prefill_server);
+    double cached_decode_weight(ServerIndex s, ServerIndex prefill_server);
     std::size_t distance_class(ServerIndex from, ServerIndex to) const;
     void note_hand_over(const RoutedRequest& q, Duration duration);
     double hand_over_time(std::size_t distance) const;
@@ -316,11 +317,17 @@
     std::unordered_map<std::uint64_t, std::pair<double, Instant>> shared_prefix_counts_;
     std::vector<LocationShare> cells_, zones_;
     std::vector<bool> cell_room_, zone_room_;  // as of the last check
-    double spare_in_other_zones_ = 0, spare_prefill_ = 0;
+    // Sums over all zones: decode share that is left after the zone's own excess, and prefill work beyond
+    // 1 / number of zones.
+    double net_spare_of_zones_ = 0, prefill_above_equal_share_ = 0;
+    // reported_at_: time of the last report or of the last probe sent; the latter keeps probe_stalest() from
+    // probing the same server again.
     std::vector<Instant> started_at_, full_at_, ejected_until_, slow_start_refilled_at_, last_heard_at_,
         reported_at_, pace_measured_at_, probed_at_, probe_answered_at_, sent_at_, connected_at_;
     Instant role_pace_measured_at_;
     std::vector<Duration> ejection_time_, probe_duration_;
+    // pace_: average time, higher is slower, see note_success(). Of a prefill: ms for each token prefilled or
+    // queued ahead; of a stream: ms to its first token.
     std::vector<double> memory_tokens_, own_queued_tokens_, own_stream_tokens_, reported_memory_,
         reported_queue_, queued_since_report_, streams_since_report_, queued_since_answer_,
         streams_since_answer_, outlier_score_, failure_rate_, pace_, slow_start_credit_;
@@ -330,11 +337,13 @@
     ExponentialAverage prompt_length_, prefill_time_, tokens_per_prefill_, first_token_time_, stream_time_,
         cached_share_;
     std::vector<ExponentialAverage> memory_by_kind_, queue_by_kind_;  // averages of reported loads, by kind
-    // [0]: decode and mixed servers; [1]: prefill servers.
-    std::array<ExponentialAverage, 2> role_failure_rates_, role_log_paces_;
+    // role_failure_rates_: [0] decode and mixed servers, [1] prefill servers. log_paces_by_attempt_: [0]
+    // hand-overs, [1] prefills, with streams that began without a state.
+    std::array<ExponentialAverage, 2> role_failure_rates_, log_paces_by_attempt_;
     std::array<ExponentialAverage, 3> hand_over_times_;  // by distance class
     std::array<Instant, 3> last_hand_over_at_{};
     Instant shares_computed_at_;
+    // Ready servers that [0] decode, [1] prefill (see does_decode() and does_prefill()).
     std::array<double, 2> role_sizes_{};
     bool memory_reported_ = false;
     double probe_credit_ = 0;
--- a/src/core/router_host.h
+++ b/src/core/router_host.h
@@ -12,8 +12,10 @@
 
 // The index of a request may be reused once the request has ended and none of its attempts is in flight.
 using RequestIndex = std::uint32_t;
-using ServerIndex = std::uint32_t;  // stays with a server as long as the gateway runs
-using AttemptId = std::uint64_t;    // never reused by a gateway; starts at 1
+// Names one server while that is listed, or an attempt or a release for it is pending; may be reused for
+// another server afterwards.
+using ServerIndex = std::uint32_t;
+using AttemptId = std::uint64_t;  // never reused by a gateway; starts at 1
 using TimerKey = std::uint64_t;
 
 // This reason to reject a request gets a status of its own in the answer to the client.
@@ -30,9 +32,13 @@
     virtual ~Host() = default;
     virtual Instant now() const = 0;
     virtual void start_attempt(RequestIndex request, ServerIndex server, const AttemptLimits& limits) = 0;
+    // `attempt`: number of the attempt within the request, from 0.
     virtual void cancel_attempt(RequestIndex request, std::uint32_t attempt) = 0;
+    // Gives the final answer: the client may safely send the request again after `retry_after`.
     virtual void reject(RequestIndex request, Duration retry_after) = 0;
+    // Gives the final answer to a request that may have run, so a repeat may not be safe.
     virtual void abandon(RequestIndex request) = 0;
+    // Requests the release of the state that servers may hold for the request.
     virtual void release(RequestIndex request) = 0;
     // Whether the request's own limits allow one more attempt after its last one ended with `after`. Asked
     // once for each attempt, as a yes may be charged to a retry budget.
--- a/src/core/send_guard.cpp
+++ b/src/core/send_guard.cpp
@@ -9,8 +9,9 @@
 
 // Share of the time limit on held states that the rest of an answer may take.
 constexpr double kAnswerCompletionShare = 0.35;
-// Well above the travel time of a close between two zones, also where a busy machine relays it late. Once,
-// with twelve busy threads on eight cores, 30 ms passed between a cancellation and its record at the server.
+// Well above the travel time of a close between two zones, but no upper bound: on an overloaded machine
+// (twelve busy threads on eight cores) 30 ms once passed between a cancellation and its record at the server.
+// HoldLedger has releases repeated for such cases.
 constexpr Duration kCloseTravelTime{20000};
 // A server may send an answer twice, the second some milliseconds after the first. It can't be distinguished
 // from the answer to the next request on that connection, so no request is sent there for this long.
@@ -41,7 +42,7 @@
             return "no time left";
         case Denial::write_window_over:
             return "its time to be written is over";
-        case Denial::may_take_newer_state:
+        case Denial::release_too_early:
             return "it may take a newer state";
         case Denial::close_not_arrived:
             return "a close may not have arrived";
@@ -106,7 +107,7 @@
         case HoldLedger::Need::due:
             return Denial::none;
         case HoldLedger::Need::not_yet:
-            return count(Denial::may_take_newer_state);
+            return count(Denial::release_too_early);
         case HoldLedger::Need::close_in_flight:
             return count(Denial::close_not_arrived);
         case HoldLedger::Need::nothing:
--- a/src/core/send_guard.h
+++ b/src/core/send_guard.h
@@ -25,9 +25,9 @@
     effect_may_have_happened,  // a non-idempotent request whose earlier attempt may have run
     too_many_attempts,
     no_time_left,
-    write_window_over,     // the time until which the attempt was to be written has passed
-    may_take_newer_state,  // the release could free a state that an attempt in flight still needs
-    close_not_arrived,     // the release could overtake the close of an attempt
+    write_window_over,  // the time until which the attempt was to be written has passed
+    release_too_early,  // it could free a state that an attempt still needs, or its repeat is not due yet
+    close_not_arrived,  // the release could overtake the close of an attempt
     nothing_held,
     connection_unsafe,  // a pooled connection on which bytes or a close of its peer may be pending
     answer_pending,     // a client connection with a request that has no final answer yet
@@ -39,7 +39,7 @@
 // A short text for logs and metrics.
 const char* text_of(Denial denial);
 
-// Holds at run time whatever servers, clients, the network and the operating system do.
+// Conditions that must hold at run time, whatever servers, clients, the network and the operating system do.
 enum class Invariant {
     state_released_in_time,   // a held state is taken or a release is written within the configured time
     deadline_not_overstated,  // the deadline sent to a server is not later than that of the client
@@ -82,8 +82,8 @@
 
     // ---- held states
 
-    // Whether a release may be written now. A call that was written but not answered may lie unread in the
-    // socket of a hanging process, or on a connection that has fallen silent, so it delays a release only
+    // Whether a release may be written now. An attempt that was written but not answered may lie unread in
+    // the socket of a hanging process, or on a connection that has fallen silent, so it delays a release only
     // until the end of the lease. A release that was sent while an attempt may be waiting for the state has
     // to be repeated after that attempt's end.
     Denial may_release(const HoldLedger& ledger, RequestKey request, Instant now);
--- a/src/core/server_health.cpp
+++ b/src/core/server_health.cpp
@@ -40,11 +40,12 @@
     return std::clamp(others, kMinFailureRate, kOutlierFailureRate);
 }
 
-// Also ejects servers that run slow without failing. Each server is judged by one of the two paces.
+// Also ejects servers that run slow without failing. Each server is judged by the pace of one kind of
+// attempt: prefills if it prefills, otherwise hand-overs.
 void Router::note_success(ServerIndex s, double pace, bool is_prefill) {
     const double log_odds = std::log((1 - kOutlierFailureRate) / (1 - update_failure_rate(s, 0.0)));
     if (is_prefill != does_prefill(s)) return add_evidence(s, log_odds);
-    ExponentialAverage& peers = role_log_paces_[is_prefill];
+    ExponentialAverage& peers = log_paces_by_attempt_[is_prefill];
     const double log_pace = std::log(std::max(pace, 1e-9));
     const double slowness = peers.samples < kMinPaceSamples ? 0.0 : log_pace - peers.mean - kPaceSlack;
     if (is_prefill) role_pace_measured_at_ = now_;
@@ -88,9 +89,11 @@
     availability_changed(s);
 }
 
-// A hand-over that may simply be repeated does not wait for a server from which nothing has been heard since
-// it was sent, for far longer than hand-overs usually take: without its state it can only be rejected. Where
-// hand-overs usually take long, the attempt would only move from one slow server to the next.
+// Called when the lease of the request's state has ended, with the state released. Cancels the unanswered
+// hand-over of a pure streaming request if nothing has been heard from its server since it was sent, for
+// longer than the mean first-token time + kSilenceDeviations mean deviations: without its state it can only
+// be rejected. The limit follows the usual time because, where hand-overs usually take long, the attempt
+// would only move from one slow server to the next.
 void Router::cancel_unanswered_hand_over(RequestIndex i) {
     RoutedRequest& q = requests_[i];
     const Category& c = terms_.categories[q.info.category];
@@ -128,7 +131,7 @@
         if (usual.samples < kMinSilenceSamples ||
             (is_responsive && answered_sent_at_[is_prefill][s] <= q.sent_at))
             continue;
-        // Only one of the two paces of a mixed server is known.
+        // A server's pace is known for only one kind of attempt, see note_success().
         const double expected =
             is_prefill != does_prefill(s)
                 ? 0.0
@@ -164,8 +167,9 @@
     if (observed_here) notify_peers('u', s, category);
 }
 
-// Some attempts are answered even so, so one answer is not enough. Answers to attempts sent before say
-// nothing.
+// A server that leaves a category unanswered may still answer some of its attempts, so one answer does not
+// end the backoff: each divides it by 4, and below a quarter of kFirstSuspension it ends. Answers to attempts
+// sent before `since` (the latest test attempt) say nothing.
 void Router::note_category_answered(const RoutedRequest& q, ServerIndex s) {
     CategorySuspension& suspension = suspensions_[q.info.category][s];
     if (suspension.backoff.us == 0 || q.sent_at < suspension.since) return;
--- a/src/core/server_subset.h
+++ b/src/core/server_subset.h
@@ -16,11 +16,11 @@
   public:
     // The membership of a server may have changed.
     void invalidate() { valid_ = false; }
-    // The subset is valid until then at the latest.
-    void valid_until(Instant at) { until_ = std::min(until_, at); }
+    // The subset becomes invalid at `at`, if not earlier.
+    void limit_validity(Instant at) { until_ = std::min(until_, at); }
     bool is_valid(Instant now) const { return valid_ && now < until_; }
 
-    // `is_member(server)`: whether the server belongs to the subset; it may call valid_until().
+    // `is_member(server)`: whether the server belongs to the subset; it may call limit_validity().
     template <class Belongs>
     void rebuild(std::span<const ServerIndex> from, Belongs is_member) {
         servers_.clear();
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -13,12 +13,13 @@
 }
 
 // Refills the budgets of cold servers (token buckets). All gateways together must stay below
-// overload_multiple x start_capacity x fall. Each keeps to the share that its own traffic to warm servers of
-// the role implies; if all do, the sum is the fleet's share.
+// overload_multiple x start_capacity x the rate at which a warm server of the role serves requests. Each
+// gateway computes that rate from its own traffic to warm servers of the role; if all do, their budgets add
+// up to the limit for the whole fleet.
 void Router::refill_slow_start() {
     // Nothing is gained by refilling again within the clock's resolution.
     if (now_ - counts_decayed_at_ < terms_.quantum) return;
-    const double fade = std::exp(-seconds(now_ - counts_decayed_at_) / kRateWindowS);
+    const double fade = std::exp(-seconds(now_ - counts_decayed_at_) / kRateTimeConstantS);
     recent_prefills_ *= fade;
     recent_decodes_ *= fade;
     recent_arrivals_ *= fade;
@@ -39,7 +40,7 @@
     for (const ServerIndex s : cold_servers_) {
         const double completed = role_[s] == Role::prefill ? recent_prefills_ : recent_decodes_;
         const double peers = role_[s] == Role::prefill ? warm_prefill : warm_decode;
-        const double rate = peers > 0 ? completed / kRateWindowS / peers : 0;
+        const double rate = peers > 0 ? completed / kRateTimeConstantS / peers : 0;
         const double allowed = rate * capacity_factor;
         const double max_credit =
             std::max(1.0, allowed * seconds(terms_.overload_window) * kSlowStartBurstShare);
--- a/src/node/releases.cpp
+++ b/src/node/releases.cpp
@@ -36,7 +36,7 @@
     restart(*release);
     release->server = order.server;
     if (order.unanswered) release->notified.insert(order.server);
-    if (order.may_be_followed) release->not_before = clock_.now() + kFollowUpDelay;
+    if (order.may_be_followed) release->not_before = clock_.now() + kDelayBeforeRelease;
     advance(*release);
 }
 
--- a/tests/core/send_guard_test.cpp
+++ b/tests/core/send_guard_test.cpp
@@ -76,7 +76,7 @@
     const Instant end = ledger.lease_end(kRequest);
     EXPECT_GT(end, kNow + ms(500));
     EXPECT_LT(end, kNow + ms(1000));
-    EXPECT_EQ(guard.may_release(ledger, kRequest, end + ms(-1)), Denial::may_take_newer_state);
+    EXPECT_EQ(guard.may_release(ledger, kRequest, end + ms(-1)), Denial::release_too_early);
     EXPECT_EQ(guard.may_release(ledger, kRequest, end), Denial::none);
 }
 
@@ -88,7 +88,7 @@
     ledger.attempt_ended(kRequest, 2, Ending::connection_lost, kNow);
     ledger.attempt_started(kRequest, 3, 1, false, kNow);
     ledger.stream_began(kRequest, 3, kNow);
-    EXPECT_EQ(guard.may_release(ledger, kRequest, kNow + ms(60000)), Denial::may_take_newer_state);
+    EXPECT_EQ(guard.may_release(ledger, kRequest, kNow + ms(60000)), Denial::release_too_early);
 }
 
 TEST(SendGuardRelease, DoesNotOvertakeAClose) {
