--- a/src/node/arrival_times.h
+++ b/src/node/arrival_times.h
@@ -23,12 +23,12 @@
     }
     // Returns the highest offset noted, or 0 if there is none.
     std::uint64_t highest_noted() const { return marks_.empty() ? last_noted_ : marks_.back().up_to; }
-    // Returns when the byte at this offset had arrived. Earlier marks are discarded.
-    Instant arrived(std::uint64_t byte) {
-        while (marks_.size() > 1 && marks_.front().up_to < byte) marks_.pop_front();
+    // Returns when all bytes before `end_offset` had arrived. Discards the marks up to and including it.
+    Instant take_arrival_time(std::uint64_t end_offset) {
+        while (marks_.size() > 1 && marks_.front().up_to < end_offset) marks_.pop_front();
         if (marks_.empty()) return last_arrival_;
         last_arrival_ = marks_.front().arrived_at;
-        if (marks_.front().up_to <= byte) {
+        if (marks_.front().up_to <= end_offset) {
             last_noted_ = marks_.front().up_to;
             marks_.pop_front();
         }
--- a/src/node/client_connections.cpp
+++ b/src/node/client_connections.cpp
@@ -74,13 +74,14 @@
         if (consumed_bytes_ + stream_->buffered() > arrivals_.highest_noted())
             arrivals_.note(consumed_bytes_ + stream_->buffered(),
                            parent_.loop_.now() - stream_->since_received());
-        // One callback may bring the end of more than one message; each is delivered before the next is read.
+        // Reads at most one request. The bytes of further requests stay buffered until response_complete()
+        // posts the next read.
         while (stage_ == Stage::idle || stage_ == Stage::receiving) {
             const std::string_view bytes = stream_->front();
             if (bytes.empty()) return;
             if (stage_ == Stage::idle) {
                 stage_ = Stage::receiving;
-                queue_as_idle();
+                requeue_without_request();
                 if (has_sent_request_) timeout_.set(parent_.bounds_.request_timeout);
                 message_ = std::make_unique<http::Message>(
                     http::MessageKind::request, parent_.bounds_.message,
@@ -101,8 +102,10 @@
             }
             if (message_->done()) return deliver_request();
         }
-        // Reading is never paused: the client's close would go unseen behind unread bytes. Input beyond one
-        // request behind the open one is discarded, and the connection closes after the response.
+        // Reading is never paused: the client's close would go unseen behind unread bytes. While a request is
+        // open, the buffered input is limited, for this connection to the size of one request body and for
+        // all connections to Bounds::body_bytes. Beyond either limit it is discarded, and the connection
+        // closes after the response.
         if (!discards_input_ && note_pipelined() && pipelined_ <= parent_.bounds_.message.body_bytes) return;
         discards_input_ = close_after_response_ = true;
         consume(stream_->buffered());
@@ -198,7 +201,7 @@
         parent_.body_bytes_ -= body_.size();
         std::string body = std::move(body_);
         body_ = {};
-        const Duration waited = parent_.loop_.now() - arrivals_.arrived(consumed_bytes_);
+        const Duration waited = parent_.loop_.now() - arrivals_.take_arrival_time(consumed_bytes_);
         parent_.owner_.request_received(id_, message->head(), std::move(body), waited);
     }
 
@@ -228,9 +231,9 @@
 
     void await_request(Duration limit) {
         timeout_.set(limit);
-        queue_as_idle();
+        requeue_without_request();
     }
-    void queue_as_idle() { parent_.idle_.emplace_back(id_, ++generation_); }
+    void requeue_without_request() { parent_.without_request_.emplace_back(id_, ++generation_); }
 
     void timed_out() {
         // A client may send part of a request and then nothing. It gets a 408; a connection on which no
@@ -282,9 +285,9 @@
 // Hundreds of connections may be open without sending anything: the one that has been without an open request
 // for longest is closed.
 void ClientConnections::make_room() {
-    drop_stale_idle_entries();
-    if (idle_.empty()) return;
-    Session& oldest = *find(idle_.front().first);
+    drop_stale_entries();
+    if (without_request_.empty()) return;
+    Session& oldest = *find(without_request_.front().first);
     if (may_close(oldest)) drop(oldest, false);
 }
 
@@ -294,13 +297,14 @@
     return owner_.guard().may_close(facts) == Denial::none;
 }
 
-// Without this, stale entries would accumulate as long as make_room() is not needed.
-void ClientConnections::drop_stale_idle_entries() {
+// Removes the stale entries at the front of the queue. Called with each drop as well, as they would
+// accumulate as long as make_room() is not needed.
+void ClientConnections::drop_stale_entries() {
     const auto stale = [&](const std::pair<ClientId, std::uint64_t>& entry) {
         const Session* session = find(entry.first);
         return !session || session->generation() != entry.second;
     };
-    while (!idle_.empty() && stale(idle_.front())) idle_.pop_front();
+    while (!without_request_.empty() && stale(without_request_.front())) without_request_.pop_front();
 }
 
 void ClientConnections::drop(Session& session, bool graceful) {
@@ -314,7 +318,7 @@
         Stream::detach_and_half_close(loop_, session.take_stream());
     else
         Stream::detach_and_close(loop_, session.take_stream(), false);
-    drop_stale_idle_entries();
+    drop_stale_entries();
 }
 
 void ClientConnections::answer(ClientId client, int status, std::string_view extra_headers,
--- a/src/node/client_connections.h
+++ b/src/node/client_connections.h
@@ -77,7 +77,7 @@
     bool is_full() const;
     bool may_close(const Session& session);
     void make_room();
-    void drop_stale_idle_entries();
+    void drop_stale_entries();
 
     Loop& loop_;
     Bounds bounds_;
@@ -86,9 +86,9 @@
     std::size_t body_bytes_ = 0, pipelined_bytes_ = 0;
     bool draining_ = false;
     std::unordered_map<ClientId, std::unique_ptr<Session>> sessions_;
-    // Sessions without an open request, with their generation, in order of idle time, longest first. An entry
-    // is stale if the generation of its session has changed.
-    std::deque<std::pair<ClientId, std::uint64_t>> idle_;
+    // Sessions without an open request, including those that are receiving one, with their generation, in
+    // order of idle time, longest first. An entry is stale if the generation of its session has changed.
+    std::deque<std::pair<ClientId, std::uint64_t>> without_request_;
 };
 
 }  // namespace copperfront
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -11,25 +11,27 @@
 namespace copperfront {
 namespace {
 
-// Time that the agent may hold a long poll. Far less than the 6 s after which a change counts as notified, as
-// a watch that has fallen silent is detected by this time-out alone.
+// Time that the agent may hold a long poll. Far less than the 6 s after which the platform counts a change
+// as notified to the gateway, as a watch that has fallen silent is detected only by its time-out.
 constexpr std::int64_t kLongPollMs = 1000;
-constexpr Duration kLongPollGrace{250000};  // added to it: the agent answers at once then
+// Added to kLongPollMs for the time-out: the agent answers at once when that time is over.
+constexpr Duration kLongPollGrace{250000};
 // For the first byte of a whole list, and between parts of a response.
 constexpr Duration kResponseTimeout{1000000};
 // A few calls wait longer for their first byte, in case the agent is slow or overloaded.
 constexpr Duration kSlowResponseTimeout{6000000};
 constexpr std::size_t kMaxSlowCalls = 4;
 constexpr Duration kSlowCallInterval{1000000};
-// For a whole response to a watch: a change counts as notified after 6 s.
+// For a whole response to a watch. Less than the 6 s after which a change counts as notified to the gateway.
 constexpr Duration kWatchResponseTimeout{3000000};
-// An agent may be silent for a while and have its list as soon as it is back. So calls follow each other in
-// less than the shortest grace period of a drain, and none is dropped for the next, so that a slow response
-// is still received.
+// After an outage the agent can answer with its list at once. So while there is no watch, new calls are
+// opened at intervals shorter than the shortest grace period of a drain. Earlier calls stay open, so that a
+// slow response is still received.
 constexpr int kMinRetryMs = 60, kMaxRetryMs = 120;
 constexpr Duration kRetryWhileReceiving{1000000};
 // The number of calls that can be open before the first of them times out; bounds the connections.
 constexpr std::size_t kMaxCalls = kResponseTimeout.us / 1000 / kMinRetryMs + 1 + kMaxSlowCalls;
+// Fault injection for tests; see core/sabotage.h.
 constexpr Duration kSabotagedTimeout{100000};
 constexpr std::size_t kReadBufferBytes = 64 << 10;  // read in one iteration of the loop
 
@@ -96,12 +98,12 @@
     void note_progress() {
         if (!std::exchange(started_, true)) {
             started_at_ = loop_.now();
-            if (!parent_.live_) parent_.response_started(*this);
+            if (!parent_.has_watch_) parent_.response_started(*this);
         }
         Duration limit = kResponseTimeout;
         if (is_sabotaged(Sabotage::list_given_up_early))
             limit = started_at_ + kSabotagedTimeout - loop_.now();
-        if (parent_.live_) limit = std::min(limit, started_at_ + kWatchResponseTimeout - loop_.now());
+        if (parent_.has_watch_) limit = std::min(limit, started_at_ + kWatchResponseTimeout - loop_.now());
         timeout_.set(limit);
     }
 
@@ -197,14 +199,14 @@
 void Discovery::stop() {
     retry_timer_.cancel();
     while (!calls_.empty()) drop(*calls_.back());
-    live_ = false;
+    has_watch_ = false;
     // Versions are those of one agent and mean nothing at another address.
     index_ = 0;
 }
 
 std::string Discovery::target() const {
     std::string target = "/registry/instances";
-    if (live_) target += "?after=" + std::to_string(index_) + "&wait_ms=" + std::to_string(kLongPollMs);
+    if (has_watch_) target += "?after=" + std::to_string(index_) + "&wait_ms=" + std::to_string(kLongPollMs);
     return target;
 }
 
@@ -231,7 +233,7 @@
 }
 
 bool Discovery::may_wait_longer(const Call& call) const {
-    if (live_) return false;
+    if (has_watch_) return false;
     std::size_t slow = 0;
     for (const auto& other : calls_) {
         if (!other->is_slow()) continue;
@@ -246,7 +248,7 @@
     if (calls_.size() < kMaxCalls || make_room()) {
         calls_.push_back(std::make_unique<Call>(*this, target()));
     }
-    if (live_) return;
+    if (has_watch_) return;
     // Random, so that gateways do not retry in step.
     std::uniform_int_distribution<std::int64_t> wait(kMinRetryMs, kMaxRetryMs);
     retry_timer_.set(receiving ? kRetryWhileReceiving : Duration{wait(random_) * 1000});
@@ -255,17 +257,17 @@
 void Discovery::response_received(Call& call, bool keep_alive, platform::ServerListUpdate news,
                                   std::size_t bytes) {
     // Without a live watch a whole list was requested, and any version of it is accepted.
-    const bool forward =
-        news.is_snapshot ? !live_ || news.index >= index_
-                         : live_ && (news.index > index_ || (news.index == index_ && news.entries.empty()));
-    if (!forward) return call_failed(call, "older list version, or changes without a complete list");
-    const bool first = !live_;
+    const bool acceptable = news.is_snapshot ? !has_watch_ || news.index >= index_
+                                             : has_watch_ && (news.index > index_ ||
+                                                              (news.index == index_ && news.entries.empty()));
+    if (!acceptable) return call_failed(call, "older list version, or changes without a complete list");
+    const bool first = !has_watch_;
     index_ = news.index;
     status_.index = news.index;
     status_.bytes = bytes;
     status_.last_response_at = loop_.now();
     ++status_.responses;
-    live_ = true;
+    has_watch_ = true;
     loss_logged_ = false;
     retry_timer_.cancel();
     while (calls_.size() > 1) drop(*(calls_.front().get() == &call ? calls_.back() : calls_.front()));
@@ -288,14 +290,14 @@
     const bool had_started = call.has_started();
     drop(call);
     std::uniform_int_distribution<std::int64_t> soon(0, kMinRetryMs);
-    if (!live_) {
+    if (!has_watch_) {
         if (!loss_logged_) log_watch_lost(why);
-        // The other calls were dropped when its response started.
+        // response_started() dropped the other calls and delayed the next one, so the retry is soon.
         if (had_started && !is_receiving()) retry_timer_.set({soon(random_) * 1000});
         return;
     }
-    // Changes since then are unknown, so a new watch starts with the whole list.
-    live_ = false;
+    // Changes after the last accepted response are unknown, so a new watch starts with the whole list.
+    has_watch_ = false;
     index_ = 0;
     log_watch_lost(why);
     retry_timer_.set({soon(random_) * 1000});
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -1,4 +1,5 @@
-// Client of the discovery agent, which reports the list of model servers: a sequence of long polls. A
+// Client of the discovery agent, which reports the list of model servers. The watch is the long poll for
+// changes after the last accepted response; while there is none, the whole list is requested repeatedly. A
 // response that is malformed or has an older version changes nothing, and the whole list is requested again,
 // as it is when the agent does not answer in time.
 #pragma once
@@ -33,7 +34,7 @@
     // the present address.
     void follow(const std::string& address);
     void stop();
-    bool live() const { return live_; }
+    bool has_watch() const { return has_watch_; }
 
     // For the status log.
     struct Status {
@@ -68,10 +69,10 @@
     std::minstd_rand random_;
     std::string address_text_;
     Address address_;
-    // While live_: the watch. Otherwise each call requests the whole list, and the first one to be answered
-    // becomes the watch.
+    // While has_watch_: the watch. Otherwise each call requests the whole list, and the first one to be
+    // answered becomes the watch.
     std::vector<std::unique_ptr<Call>> calls_;
-    bool live_ = false, loss_logged_ = false;
+    bool has_watch_ = false, loss_logged_ = false;
     std::uint64_t index_ = 0;
     Timer retry_timer_;
 };
--- a/src/node/late_attempts.cpp
+++ b/src/node/late_attempts.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void LateAttempts::follow(const Followed& attempt) {
+void LateAttempts::follow(const FollowedAttempt& attempt) {
     if (attempts_.size() >= kMaxAttempts) {
         ++overflows_;
         return;
@@ -35,7 +35,7 @@
 
 bool LateAttempts::is_at_same_address(const Attempt& attempt) const {
     const ServerIndex server = attempt.info.server;
-    return pool_.is_reachable(server) && !has_moved(attempt.info.started, pool_.address_since(server));
+    return host_.is_reachable(server) && !has_moved(attempt.info.started, host_.address_since(server));
 }
 
 void LateAttempts::note_removal(Attempt& attempt) {
@@ -48,7 +48,7 @@
 }
 
 void LateAttempts::cancel(ReleaseCallId& call) {
-    if (call != 0) pool_.cancel_release(std::exchange(call, 0));
+    if (call != 0) host_.cancel_release(std::exchange(call, 0));
 }
 
 void LateAttempts::cancel_own_call(Attempt& attempt) {
@@ -63,15 +63,15 @@
     if (attempt.call != 0 || now < attempt.next_call_at || servers_called_.count(attempt.info.server) > 0)
         return;
     if (attempt.removed_at.us != 0) return;
-    attempt.call = pool_.start_release(attempt.info.server, attempt.info.id);
+    attempt.call = host_.start_release(attempt.info.server, attempt.info.id);
     if (attempt.call != 0) servers_called_.insert(attempt.info.server);
     attempt.call_started = now;
 }
 
 bool LateAttempts::find_other_server(ServerIndex excluded, ServerIndex& found) const {
     bool any = false;
-    pool_.visit_by_last_heard([&](ServerIndex other) {
-        if (other == excluded || !pool_.is_reachable(other) || pool_.may_hang(other)) return true;
+    host_.visit_by_last_heard([&](ServerIndex other) {
+        if (other == excluded || !host_.is_reachable(other) || host_.may_hang(other)) return true;
         found = other;
         any = true;
         return false;
@@ -84,7 +84,7 @@
     cancel(attempt.other_call);
     ServerIndex other = 0;
     if (find_other_server(attempt.info.server, other)) {
-        attempt.other_call = pool_.start_release(other, attempt.info.id);
+        attempt.other_call = host_.start_release(other, attempt.info.id);
     }
     attempt.next_other_call_at = clock_.now() + kNextReleaseDelay;
 }
@@ -94,7 +94,7 @@
         if (is_over(attempt)) continue;
         note_removal(attempt);
         // A release that is sent now could remove the state that another attempt leaves.
-        if (pool_.ledger().has_attempt_in_flight(attempt.info.key)) continue;
+        if (host_.ledger().has_attempt_in_flight(attempt.info.key)) continue;
         release_at_own_server(attempt);
         release_at_other_server(attempt);
     }
@@ -127,7 +127,8 @@
     }
     match->next_call_at = clock_.now() + (match->answers == 0 ? kFirstReleaseDelay : kNextReleaseDelay);
     ++match->answers;
-    // Other servers are sent a release only if this one hangs again.
+    // Other servers are needed only if this one hangs again, so each of its answers postpones the release to
+    // another server by kNextReleaseDelay.
     match->next_other_call_at = clock_.now() + kNextReleaseDelay;
     return true;
 }
--- a/src/node/late_attempts.h
+++ b/src/node/late_attempts.h
@@ -1,10 +1,11 @@
 // Follows attempts whose outcome is unknown at servers that have not been heard from since. Such a server may
 // hang with the request in its socket or in progress, and a reset does not undo that. Once it runs again, a
-// prefill leaves a state that no request needs, and a hand-over has waited for a state until then. So a
-// release is sent to the server until it answers, and again while the attempt may still end. Meanwhile
-// releases go to another server, at intervals shorter than the time that a state may be held. A server that
-// is no longer in the list, or is there with another address, may also still run. It cannot be reached, so
-// only other servers are sent releases, for a limited time.
+// prefill attempt leaves a state that no request needs, and a decode attempt may have waited for a state
+// until then, so that a release sent earlier has to be repeated. So a release is sent to the server until it
+// answers, and again while the attempt may still end. Meanwhile releases go to another server, at intervals
+// shorter than the time that a state may be held. A server that is no longer in the list, or is there with
+// another address, may also still run. It cannot be reached, so only other servers are sent releases, for a
+// limited time.
 #pragma once
 
 #include <cstdint>
@@ -21,16 +22,17 @@
 
 class LateAttempts {
   public:
-    LateAttempts(const Clock& clock, ReleasePool& pool) : clock_(clock), pool_(pool) {}
+    LateAttempts(const Clock& clock, ReleaseHost& host) : clock_(clock), host_(host) {}
 
-    struct Followed {
+    struct FollowedAttempt {
         ServerIndex server = 0;
         RequestKey key = 0;
         std::string id;  // of the request
         bool prefill = false;
         Instant started;
     };
-    void follow(const Followed& attempt);
+    // Starts to send releases for this attempt.
+    void follow(const FollowedAttempt& attempt);
     // Returns false if the call is not one of a followed attempt.
     bool call_ended(ReleaseCallId call, bool answered);
     // Sends the releases that are due; to be called periodically.
@@ -41,7 +43,7 @@
 
   private:
     struct Attempt {
-        Followed info;
+        FollowedAttempt info;
         Instant follow_until, next_call_at, call_started;
         Instant removed_at;  // when its server was first found not to be at its address; zero: it is there
         ReleaseCallId call = 0;        // to its own server
@@ -60,7 +62,7 @@
     void note_removal(Attempt& attempt);
 
     const Clock& clock_;
-    ReleasePool& pool_;
+    ReleaseHost& host_;
     std::vector<Attempt> attempts_;
     std::unordered_set<ServerIndex> servers_called_;  // one call at a time to each
     std::uint64_t overflows_ = 0;
--- a/src/node/membership.cpp
+++ b/src/node/membership.cpp
@@ -13,6 +13,7 @@
 
 constexpr std::size_t kEntriesPerBatch = 512;
 constexpr Instant kNoStart{-1};  // of an index that was never assigned
+// Fault injection for tests; see core/sabotage.h.
 constexpr std::chrono::milliseconds kSabotagedPause{500};
 
 bool is_withdrawn(const platform::ServerEntry& entry) { return entry.status != ServerStatus::ready; }
@@ -43,7 +44,7 @@
     finish_update();
     if (news.entries.size() > kEntriesPerBatch) withdraw(news);
     begin_update(std::move(news));
-    update_->confirms = true;
+    update_->is_current = true;
     continue_update();
 }
 
@@ -126,7 +127,7 @@
     for (ServerIndex server = 0; update.news.is_snapshot && server < listed.size(); ++server) {
         if (!listed[server] && !servers_[server].removed) remove(server);
     }
-    if (update.confirms) starts_.list_confirmed(update.arrived);
+    if (update.is_current) starts_.list_confirmed(update.arrived);
     owner_.servers_changed(listings, update.news.is_snapshot);
 }
 
@@ -191,9 +192,10 @@
     return known->second;
 }
 
-// The router recognizes another process under an index by its start time, so the two must differ.
-Instant Membership::distinct_start(Instant reported, const Server& before) {
-    return reported == before.listing.started_at ? reported + Duration{1} : reported;
+// The router recognizes another process under an index by its changed start time. So if it reports the same
+// start time as the previous one, 1 us is added.
+Instant Membership::distinct_start(Instant reported, const Server& previous) {
+    return reported == previous.listing.started_at ? reported + Duration{1} : reported;
 }
 
 // A new name reuses the index of a removed server without outstanding calls or releases, so that a fleet
@@ -202,7 +204,7 @@
     if (const std::optional<ServerIndex> known = find(name)) return *known;
     ServerIndex index = static_cast<ServerIndex>(servers_.size());
     const auto free = std::find_if(removed_.begin(), removed_.end(), [this](ServerIndex server) {
-        return connections_.is_idle(server) || is_sabotaged(Sabotage::index_handed_on_early);
+        return connections_.has_no_connections(server) || is_sabotaged(Sabotage::index_handed_on_early);
     });
     if (free != removed_.end()) {
         index = *free;
--- a/src/node/membership.h
+++ b/src/node/membership.h
@@ -40,9 +40,9 @@
         // No new attempts are to be sent to it.
         virtual void stop_new_attempts(ServerIndex server) = 0;
         virtual void remove_server(ServerIndex server) = 0;
-        // Whether no call or release is outstanding there, so that its index may be assigned to another
-        // server.
-        virtual bool is_idle(ServerIndex server) const = 0;
+        // Whether no connection to it is left, and so no attempt or release, so that its index may be
+        // assigned to another server.
+        virtual bool has_no_connections(ServerIndex server) const = 0;
     };
     class Owner {
       public:
@@ -86,8 +86,11 @@
     struct Update {
         platform::ServerListUpdate news;
         Instant arrived;
-        bool confirms = false;  // servers that it does not list have not started by then
-        std::size_t next = 0;   // the first entry that is not prepared
+        // It was up to date when it arrived, as it came from discovery and not from the settings. So a server
+        // that was missing from the list had not started before then, except for the time that a change takes
+        // to be notified.
+        bool is_current = false;
+        std::size_t next = 0;  // the first entry that is not prepared
         std::vector<Prepared> prepared;
 
         bool is_prepared() const { return next == news.entries.size(); }
@@ -106,7 +109,7 @@
     void remove(ServerIndex server);
     std::optional<ServerIndex> find(const std::string& name) const;
     ServerIndex assign_index(const std::string& name);
-    static Instant distinct_start(Instant reported, const Server& before);
+    static Instant distinct_start(Instant reported, const Server& previous);
 
     Loop& loop_;
     const NameTable& kinds_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,7 +10,7 @@
 namespace copperfront {
 namespace {
 
-// The usual limits of a process, where the terms give none.
+// Used where the settings give no limit: the usual limits of a process.
 constexpr std::size_t kDefaultSockets = 1024;
 constexpr double kDefaultMemoryMb = 256;
 // Reserved for listeners, discovery, the event loop and connections that are about to close.
@@ -23,9 +23,11 @@
 constexpr Duration kDefaultIdleTimeout{10000000};
 // The platform counts a client as lost that waits for more than 5 s after the last event of a server.
 constexpr Duration kMaxEventGap{4600000};
-constexpr Duration kClientDrainTimeout{2800000};  // after SIGTERM, once nothing else is left
+// Open client connections delay the exit until at most this long after SIGTERM.
+constexpr Duration kClientDrainTimeout{2800000};
 // Time after SIGTERM in which late attempts at hanging servers are still followed.
 constexpr Duration kLateAttemptDrainTimeout{3000000};
+// Fault injection for tests; see core/sabotage.h.
 constexpr std::size_t kSabotagedListBytes = 256 << 10;
 constexpr Duration kStatusInterval{1000000};
 constexpr Duration kShutdownPollInterval{20000}, kExitDelay{100000};
@@ -310,9 +312,9 @@
     order.key = dispatcher_->key_of(it->second);
     order.id = open.id;
     order.server = at;
-    order.may_be_followed = still_open != request_of_id_.end() && still_open->second == it->second;
+    order.request_open = still_open != request_of_id_.end() && still_open->second == it->second;
     for (const HoldLedger::Entry& entry : ledger().entries(order.key)) {
-        if (entry.attempt == state) order.unanswered = entry.reason != HoldReason::prefill_answered;
+        if (entry.attempt == state) order.prefill_unanswered = entry.reason != HoldReason::prefill_answered;
     }
     const Duration held = loop_.now() - ledger().held_since(order.key);
     const bool lease_ended = loop_.now() >= ledger().lease_end(order.key);
@@ -406,21 +408,21 @@
     status.busiest_event = events.busiest;
     status.busiest_event_cpu = events.cpu;
     status.cpu = cpu_used();
-    status.requests_came = dispatcher_->counters().received;
+    status.requests_received = dispatcher_->counters().received;
     status.requests_open = dispatcher_->open_requests();
     status.requests_waiting = waiting.requests;
     if (waiting.requests > 0) status.longest_wait = now - waiting.oldest;
     status.list_version = list.index;
-    status.list_was_taken = list.responses > 0;
+    status.has_discovery_list = list.responses > 0;
     status.list_age = now - list.last_response_at;
     status.list_bytes = list.bytes;
     status.list_entries = membership_->size();
-    status.lists_taken = list.responses;
-    status.list_calls_lost = list.failed_calls;
+    status.list_responses = list.responses;
+    status.failed_list_calls = list.failed_calls;
     status.releases_owed = upstreams_->owed_releases();
     status.releases_overdue = upstreams_->overdue_releases();
     status.late_attempts_not_followed = upstreams_->late_attempts().overflows();
-    status.holds_not_booked = dispatcher_->ledger().overflows();
+    status.ledger_overflows = dispatcher_->ledger().overflows();
     status.descriptors = clients_->size() + upstreams_->size() + loop_.adopted();
     status_log_.note(status, now - last_status_at_);
     last_status_at_ = now;
@@ -462,30 +464,31 @@
         listener_.reset();
         clients_->close_idle();
     }
-    // Data that is still being written to clients has its own time limit.
+    // Client connections that are still open delay the exit, but only for kClientDrainTimeout after the stop
+    // request.
     const bool clients_left = clients_->size() > 0 && loop_.now() - stop_requested_at_ < kClientDrainTimeout;
     if (guard().may_exit(shutdown_facts()) != Denial::none || clients_left)
         return stop_timer_.set(kShutdownPollInterval);
     discovery_->stop();
     clients_->close_all();
-    const DispatcherCounters& t = dispatcher_->counters();
-    const UpstreamPool::Counts& c = upstreams_->counts();
-    const Releases::Counts& r = upstreams_->release_counts();
+    const DispatcherCounters& requests = dispatcher_->counters();
+    const UpstreamPool::Counts& connections = upstreams_->counts();
+    const Releases::Counts& releases = upstreams_->release_counts();
     log_.log(
         Severity::info, "node", "stopped",
-        {{"came", static_cast<std::int64_t>(t.received)},
-         {"settled", static_cast<std::int64_t>(t.completed)},
-         {"declined", static_cast<std::int64_t>(t.rejected)},
-         {"given_up", static_cast<std::int64_t>(t.abandoned)},
-         {"left", static_cast<std::int64_t>(t.client_left)},
-         {"connections_made", static_cast<std::int64_t>(c.made)},
-         {"connections_reused", static_cast<std::int64_t>(c.reused)},
-         {"releases", static_cast<std::int64_t>(r.ordered)},
-         {"releases_again", static_cast<std::int64_t>(r.repeated)},
-         {"releases_lost", static_cast<std::int64_t>(r.lost)},
+        {{"came", static_cast<std::int64_t>(requests.received)},
+         {"settled", static_cast<std::int64_t>(requests.completed)},
+         {"declined", static_cast<std::int64_t>(requests.rejected)},
+         {"given_up", static_cast<std::int64_t>(requests.abandoned)},
+         {"left", static_cast<std::int64_t>(requests.client_left)},
+         {"connections_made", static_cast<std::int64_t>(connections.made)},
+         {"connections_reused", static_cast<std::int64_t>(connections.reused)},
+         {"releases", static_cast<std::int64_t>(releases.requested)},
+         {"releases_again", static_cast<std::int64_t>(releases.repeated)},
+         {"releases_lost", static_cast<std::int64_t>(releases.abandoned)},
          {"holds_not_booked", static_cast<std::int64_t>(dispatcher_->ledger().overflows())},
          {"late_attempts_not_followed", static_cast<std::int64_t>(upstreams_->late_attempts().overflows())},
-         {"state_leases_ended", static_cast<std::int64_t>(t.leases_expired)},
+         {"state_leases_ended", static_cast<std::int64_t>(requests.leases_expired)},
          {"violations", static_cast<std::int64_t>(guard().violations())}});
     stopped_ = true;
     stop_timer_.set(kExitDelay);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -33,7 +33,7 @@
     ~Node() override;
 
     Address address() const { return listener_->address(); }
-    // Replaces the terms, as a whole or not at all.
+    // Replaces the settings, all of them or none.
     void change(platform::NodeTerms terms);
     // Starts a graceful shutdown: accepts new requests for a short time, completes the open ones, sends the
     // releases that are owed, and then stops the loop.
--- a/src/node/release_pool.h
+++ b/src/node/release_pool.h
@@ -13,14 +13,14 @@
 
 using ReleaseCallId = std::uint64_t;  // one call that carries a release, on a connection; 0: none
 
-// Connections to servers, and the gateway's records of requests.
-class ReleasePool {
+// What releases need of their owner: connections to servers, the hold ledger and the send guard.
+class ReleaseHost {
   public:
-    virtual ~ReleasePool() = default;
+    virtual ~ReleaseHost() = default;
     // Returns false to stop the visit.
     using ServerVisitor = std::function<bool(ServerIndex)>;
-    // Visits all servers, most recently heard from first; those never heard from follow, spread over the
-    // list.
+    // Visits all servers, most recently heard from first. Those never heard from follow, in steps of
+    // release_policy::list_stride(), as neighbours in the list often fail together.
     virtual void visit_by_last_heard(const ServerVisitor& visit) const = 0;
     // Whether the server is known and not removed.
     virtual bool is_reachable(ServerIndex server) const = 0;
--- a/src/node/releases.cpp
+++ b/src/node/releases.cpp
@@ -18,8 +18,8 @@
 
 std::size_t Releases::overdue() const {
     return static_cast<std::size_t>(std::count_if(owed_.begin(), owed_.end(), [this](const auto& release) {
-        if (pool_.ledger().entries(release->key).empty()) return false;
-        return pool_.guard().is_release_late(pool_.ledger().held_since(release->key), clock_.now());
+        if (host_.ledger().entries(release->key).empty()) return false;
+        return host_.guard().is_release_late(host_.ledger().held_since(release->key), clock_.now());
     }));
 }
 
@@ -31,12 +31,12 @@
         release = owed_.back().get();
         release->key = order.key;
         release->id = order.id;
-        ++counts_.ordered;
+        ++counts_.requested;
     }
     restart(*release);
     release->server = order.server;
-    if (order.unanswered) release->notified.insert(order.server);
-    if (order.may_be_followed) release->not_before = clock_.now() + kDelayBeforeRelease;
+    if (order.prefill_unanswered) release->notified.insert(order.server);
+    if (order.request_open) release->not_before = clock_.now() + kDelayBeforeRelease;
     advance(*release);
 }
 
@@ -49,7 +49,7 @@
 }
 
 bool Releases::next_server(Release& release, ServerIndex& server) const {
-    if (release.notified.count(release.server) == 0 && pool_.is_reachable(release.server)) {
+    if (release.notified.count(release.server) == 0 && host_.is_reachable(release.server)) {
         server = release.server;
         return true;
     }
@@ -64,9 +64,9 @@
 // may hang, and among equals the one most recently heard from.
 bool Releases::best_server(const Release& release, ServerIndex& server) const {
     bool found = false;
-    pool_.visit_by_last_heard([&](ServerIndex other) {
-        if (!pool_.is_reachable(other) || release.notified.count(other) > 0) return true;
-        const bool responsive = !pool_.may_hang(other);
+    host_.visit_by_last_heard([&](ServerIndex other) {
+        if (!host_.is_reachable(other) || release.notified.count(other) > 0) return true;
+        const bool responsive = !host_.may_hang(other);
         if (responsive || !found) server = other;
         found = true;
         return !responsive;
@@ -77,7 +77,7 @@
 void Releases::advance(Release& release) {
     const Instant now = clock_.now();
     if (release.over || now < release.not_before || now < release.next_call_at) return;
-    switch (pool_.guard().may_release(pool_.ledger(), release.key, now)) {
+    switch (host_.guard().may_release(host_.ledger(), release.key, now)) {
         case Denial::none:
             break;
         case Denial::nothing_held:
@@ -88,10 +88,10 @@
             return;
     }
     if (now > release.give_up_at) {
-        ++counts_.lost;
-        const HoldLedger::ReleaseResult result = pool_.ledger().abandon(release.key);
+        ++counts_.abandoned;
+        const HoldLedger::ReleaseResult result = host_.ledger().abandon(release.key);
         finish(release, result);
-        return pool_.release_abandoned(release.id, result);
+        return host_.release_abandoned(release.id, result);
     }
     send_round(release);
 }
@@ -109,10 +109,10 @@
 bool Releases::send_to_next_server(Release& release) {
     ServerIndex server = 0;
     if (!next_server(release, server)) return false;
-    const ReleaseCallId call = pool_.start_release(server, release.id);
+    const ReleaseCallId call = host_.start_release(server, release.id);
     // No connection is available; the next periodic call tries again.
     if (call == 0) return false;
-    pool_.ledger().release_written(release.key, server, clock_.now());
+    host_.ledger().release_written(release.key, server, clock_.now());
     if (release.calls_made++ > 0) ++counts_.repeated;
     release.notified.insert(server);
     release.calls.push_back({call, server, clock_.now()});
@@ -135,7 +135,7 @@
 
 void Releases::handle_answer(Release& release, const Call& call) {
     const HoldLedger::ReleaseResult result =
-        pool_.ledger().release_answered(release.key, call.server, call.written, clock_.now());
+        host_.ledger().release_answered(release.key, call.server, call.started_at, clock_.now());
     switch (result.proof) {
         case HoldLedger::Proof::nothing:
             return;
@@ -148,12 +148,12 @@
             finish(release, result);
             break;
     }
-    pool_.release_answered(release.id, result);
+    host_.release_answered(release.id, result);
 }
 
 void Releases::cancel_calls(Release& release) {
     const std::vector<Call> calls = std::exchange(release.calls, {});
-    for (const Call& call : calls) pool_.cancel_release(call.id);
+    for (const Call& call : calls) host_.cancel_release(call.id);
 }
 
 void Releases::finish(Release& release, const HoldLedger::ReleaseResult& result) {
@@ -164,9 +164,9 @@
         const UnansweredAttemptServer server{
             .attempt_started = attempt.started,
             .attempt_ended = attempt.ended_at,
-            .address_since = pool_.address_since(attempt.server),
-            .last_heard = pool_.last_heard(attempt.server),
-            .hung_until = pool_.hung_until(attempt.server),
+            .address_since = host_.address_since(attempt.server),
+            .last_heard = host_.last_heard(attempt.server),
+            .hung_until = host_.hung_until(attempt.server),
         };
         if (may_end_late(server)) {
             late_attempts_.follow(
@@ -178,13 +178,13 @@
 void Releases::drop_timed_out_calls(Release& release) {
     const Instant now = clock_.now();
     for (std::size_t n = 0; n < release.calls.size();) {
-        if (now - release.calls[n].written < kReleaseCallTimeout) {
+        if (now - release.calls[n].started_at < kReleaseCallTimeout) {
             ++n;
             continue;
         }
         const ReleaseCallId call = release.calls[n].id;
         release.calls.erase(release.calls.begin() + static_cast<std::ptrdiff_t>(n));
-        pool_.cancel_release(call);
+        host_.cancel_release(call);
     }
 }
 
--- a/src/node/releases.h
+++ b/src/node/releases.h
@@ -1,3 +1,8 @@
+// A prefill leaves a state (the KV cache of the prompt) on its server, which holds it until a decode attempt
+// takes it (the hand-over) or a release frees it. The ledger (core/hold_ledger.h) records which states may be
+// held, and since when; a release is owed for those that no attempt will take any more or whose lease has
+// ended.
+//
 // Sends the releases that are owed according to the ledger, until the answer of a running server proves that
 // nothing is held any more. Every server releases what is held for a request anywhere, so a release that is
 // not answered soon is also sent to further servers, twice as many in each round: most of a fleet may hang at
@@ -25,20 +30,20 @@
     std::string id;          // of the request, as servers know it
     ServerIndex server = 0;  // that holds or may hold the state
     // The end of the prefill was not received from its server, so the release is sent to another one first.
-    bool unanswered = false;
-    // Another attempt may follow at once, and a release that is sent now could remove the state that it
-    // leaves.
-    bool may_be_followed = false;
+    bool prefill_unanswered = false;
+    // The request is still open: another attempt may start at once, and a release that is sent now could
+    // remove the state that it leaves, so the release is delayed.
+    bool request_open = false;
 };
 
 class Releases {
   public:
     struct Counts {
-        std::uint64_t ordered = 0, repeated = 0, lost = 0;
+        std::uint64_t requested = 0, repeated = 0, abandoned = 0;
     };
 
-    Releases(const Clock& clock, ReleasePool& pool)
-        : clock_(clock), pool_(pool), late_attempts_(clock, pool) {}
+    Releases(const Clock& clock, ReleaseHost& host)
+        : clock_(clock), host_(host), late_attempts_(clock, host) {}
 
     void order(const ReleaseOrder& order);
     void call_ended(ReleaseCallId call, bool answered);
@@ -56,7 +61,7 @@
     struct Call {
         ReleaseCallId id = 0;
         ServerIndex server = 0;
-        Instant written;  // the write is a little later if its connection had to be made
+        Instant started_at;  // its bytes are written a little later if its connection had to be made
     };
     struct Release {
         RequestKey key = 0;
@@ -84,7 +89,7 @@
     bool next_server(Release& release, ServerIndex& server) const;
 
     const Clock& clock_;
-    ReleasePool& pool_;
+    ReleaseHost& host_;
     LateAttempts late_attempts_;
     std::deque<std::unique_ptr<Release>> owed_;
     Counts counts_;
--- a/src/node/request_log.cpp
+++ b/src/node/request_log.cpp
@@ -62,7 +62,7 @@
 }
 
 void RequestLog::attempt_started(const Attempt& attempt, Instant now) {
-    // A request without retries has two attempts, a prefill and a hand-over.
+    // A request without retries has two attempts, a prefill and a decode attempt.
     const bool retry = attempt.number > 2;
     if (retry ? !may_log_unusual(now) : !logs_usual()) return;
     log_.log(retry ? Severity::info : Severity::debug, "request",
--- a/src/node/server_starts.h
+++ b/src/node/server_starts.h
@@ -13,8 +13,8 @@
 
 class ServerStarts {
   public:
-    // `reported`: the start on the wall clock, on the scale of `now`; 0: long ago. The result stays the same
-    // for one start of one server.
+    // `reported`: the start by a wall clock, in microseconds since 1970 as `now`, from which that clock may
+    // differ; 0: long ago. The result stays the same for one start of one server.
     Instant start_of(const std::string& server, Instant reported, Instant now);
     // Records that the list was up to date at this time.
     void list_confirmed(Instant now) {
--- a/src/node/status_log.cpp
+++ b/src/node/status_log.cpp
@@ -22,9 +22,9 @@
 }
 
 void StatusLog::note(const GatewayStatus& status, Duration since_last) {
-    const bool changed = status.requests_came != last_.requests_came || status.requests_open > 0 ||
+    const bool changed = status.requests_received != last_.requests_received || status.requests_open > 0 ||
                          status.list_version != last_.list_version ||
-                         status.list_calls_lost != last_.list_calls_lost || status.releases_owed > 0 ||
+                         status.failed_list_calls != last_.failed_list_calls || status.releases_owed > 0 ||
                          status.longest_event_took > kUsualEvent;
     const Duration cpu = status.cpu - last_.cpu;
     last_ = status;
@@ -43,20 +43,20 @@
               {"busiest_event", std::string(status.busiest_event)},
               {"busiest_event_cpu_ms", status.busiest_event_cpu.ms()},
               {"cpu_ms", cpu.ms()},
-              {"requests_came", number(status.requests_came)},
+              {"requests_came", number(status.requests_received)},
               {"requests_open", number(status.requests_open)},
               {"requests_waiting", number(status.requests_waiting)},
               {"longest_wait_ms", status.longest_wait.ms()},
               {"list_version", number(status.list_version)},
-              {"list_age_ms", status.list_was_taken ? status.list_age.ms() : -1.0},
+              {"list_age_ms", status.has_discovery_list ? status.list_age.ms() : -1.0},
               {"list_bytes", number(status.list_bytes)},
               {"list_entries", number(status.list_entries)},
-              {"lists_taken", number(status.lists_taken)},
-              {"list_calls_lost", number(status.list_calls_lost)},
+              {"lists_taken", number(status.list_responses)},
+              {"list_calls_lost", number(status.failed_list_calls)},
               {"releases_owed", number(status.releases_owed)},
               {"releases_overdue", number(status.releases_overdue)},
               {"late_attempts_not_followed", number(status.late_attempts_not_followed)},
-              {"holds_not_booked", number(status.holds_not_booked)},
+              {"holds_not_booked", number(status.ledger_overflows)},
               {"descriptors", number(status.descriptors)}});
 }
 
--- a/src/node/status_log.h
+++ b/src/node/status_log.h
@@ -17,17 +17,18 @@
     const char* busiest_event = "";  // the event of the loop that used most CPU time
     Duration busiest_event_cpu;
     Duration cpu;  // of the process since its start
-    std::uint64_t requests_came = 0;
+    std::uint64_t requests_received = 0;
     std::size_t requests_open = 0, requests_waiting = 0;
     Duration longest_wait;  // of the requests that wait now
     std::uint64_t list_version = 0;
-    bool list_was_taken = false;  // from discovery
-    Duration list_age;            // since the last accepted response of discovery
+    bool has_discovery_list = false;  // a list of discovery was accepted
+    Duration list_age;                // since the last accepted response of discovery
     std::size_t list_bytes = 0, list_entries = 0;
-    std::uint64_t lists_taken = 0, list_calls_lost = 0;
+    std::uint64_t list_responses = 0, failed_list_calls = 0;
     std::size_t releases_owed = 0, releases_overdue = 0;
-    // Not done because of limits of the program, since its start.
-    std::uint64_t late_attempts_not_followed = 0, holds_not_booked = 0;
+    // Late attempts not followed and requests not recorded by the hold ledger because the limit on their
+    // number was reached, since the start of the program.
+    std::uint64_t late_attempts_not_followed = 0, ledger_overflows = 0;
     std::size_t descriptors = 0;
 };
 
--- a/src/node/upstream_pool.cpp
+++ b/src/node/upstream_pool.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t kReadBufferBytes = 64 << 10;  // of a paused stream
 constexpr int kMaxInterimResponses = 100;           // 1xx responses before the final one
 constexpr Duration kMaintenanceInterval{50000};
-constexpr Duration kSabotagedExtraTime{500000};  // added to the deadline under Sabotage::deadline_overstated
+// Fault injection for tests; see core/sabotage.h. Added to the deadline under Sabotage::deadline_overstated.
+constexpr Duration kSabotagedExtraTime{500000};
 constexpr Duration kMaintenanceIntervalWhileOwed{20000};  // while releases are owed
 
 }  // namespace
@@ -34,8 +35,8 @@
     }
     Use use() const { return use_; }
     AttemptId attempt() const { return attempt_; }
-    bool never_sent() const { return !stream_->is_connected() || stream_->unsent() > 0; }
-    bool nothing_sent() const { return !stream_->is_connected(); }
+    bool is_not_fully_written() const { return !stream_->is_connected() || stream_->unsent() > 0; }
+    bool is_connecting() const { return !stream_->is_connected(); }
     Instant idle_since() const { return idle_since_; }
     // Its position in UpstreamPool::idle_order_.
     std::list<Connection*>::iterator idle_order;
@@ -88,15 +89,17 @@
         }
         read();
     }
-    // Whether the rest of a response that is not a stream has not arrived within this time. A prefill server
-    // has finished the prefill when it starts to answer; the response of a decode server may still become a
-    // stream.
-    bool is_incomplete(Duration within) const {
+    // Whether a response that is not an event stream began at least `limit` ago and is still incomplete. That
+    // of a prefill counts from its first byte, as the prefill is finished when its server starts to answer.
+    // That of a decode attempt counts only once its header is complete, as until then it may become a stream.
+    bool is_incomplete(Duration limit) const {
         if (use_ != Use::attempt || answer_began_.us == 0 || events_) return false;
         const bool head_done = message_ && message_->head_done();
-        return (prefill_ || head_done) && parent_.loop_.now() - answer_began_ >= within;
+        return (prefill_ || head_done) && parent_.loop_.now() - answer_began_ >= limit;
     }
-    // Uses the status of the header even without the body. The connection is not reusable.
+    // Ends an attempt whose response stayed incomplete: with the outcome of the status in its header if that
+    // is complete, otherwise as an invalid response. The connection is not reused, as the rest may still
+    // arrive.
     void end_incomplete() {
         const bool head_done = message_ && message_->head_done() && message_->head().status / 100 != 1;
         if (!head_done) {
@@ -108,11 +111,11 @@
     }
     void stream_closed(Stream&, CloseReason why, const std::string& what) override {
         if (use_ == Use::none) return parent_.drop(*this, false);
-        const bool unsent = why == CloseReason::connect_failed || never_sent();
+        const bool unsent = why == CloseReason::connect_failed || is_not_fully_written();
         // A response without a length, such as an error, ends with the connection.
         if (!unsent && message_ && why == CloseReason::peer_closed && message_->end_of_input())
             return finish_response();
-        parent_.attempt_failed(*this, unsent ? Loss::never_sent : Loss::peer_closed, what);
+        parent_.attempt_failed(*this, unsent ? Loss::not_fully_written : Loss::peer_closed, what);
     }
 
   private:
@@ -142,7 +145,7 @@
                 parent_.drop_for_gone_client(attempt_);
                 return parent_.drop(*this, false);
             default:
-                return parent_.attempt_failed(*this, Loss::never_sent, text_of(denial));
+                return parent_.attempt_failed(*this, Loss::not_fully_written, text_of(denial));
         }
         stream_->send(message.before);
         stream_->send(std::to_string(std::max<std::int64_t>(1, left.us / 1000)));
@@ -154,8 +157,8 @@
             const std::string_view bytes = stream_->front();
             if (bytes.empty()) return;
             // A response before the end of the request cannot belong to it.
-            if (never_sent())
-                return parent_.attempt_failed(*this, Loss::never_sent,
+            if (is_not_fully_written())
+                return parent_.attempt_failed(*this, Loss::not_fully_written,
                                               "response before the end of the request");
             if (!message_) {
                 message_ = std::make_unique<http::Message>(
@@ -175,28 +178,29 @@
         const bool bad = message_->error() != http::ParseError::none;
         if (message_->head_done() && !bad && head.status / 100 == 1) {
             if (!message_->done()) return true;
-            const bool last = head.status == 101;
+            const bool switches_protocol = head.status == 101;
             message_.reset();
-            return last || ++interim_responses_ > kMaxInterimResponses
+            return switches_protocol || ++interim_responses_ > kMaxInterimResponses
                        ? fail_invalid("too many 1xx responses")
                        : true;
         }
         if (message_->head_done() && use_ == Use::attempt && platform::starts_event_stream(head)) {
             if (!events_) events_ = std::make_unique<platform::EventStreamParser>();
-            std::string whole;
+            std::string complete_events;
             std::size_t count = 0;
-            const bool well = events_->take(piece_, whole, count);
+            const bool well_formed = events_->take(piece_, complete_events, count);
             piece_ = {};
             // No event has been forwarded yet, so the attempt may fail as if it had not been answered.
-            if ((bad || !well) && !stream_started_) return fail_invalid(bad ? message_->what() : "no event");
+            if ((bad || !well_formed) && !stream_started_)
+                return fail_invalid(bad ? message_->what() : "no event");
             if (count > 0) {
                 stream_started_ = true;
                 const AttemptId attempt = attempt_;
                 const std::shared_ptr<bool> alive = alive_;
-                parent_.owner_.events_received(attempt, whole, count);
+                parent_.owner_.events_received(attempt, complete_events, count);
                 if (!*alive || use_ != Use::attempt || attempt_ != attempt) return false;
             }
-            if (bad || !well) return fail_invalid(bad ? message_->what() : "no event");
+            if (bad || !well_formed) return fail_invalid(bad ? message_->what() : "no event");
             if (message_->done()) {
                 if (!events_->finished()) return fail_invalid("stream ended before its last event");
                 finish_response();
@@ -259,7 +263,7 @@
     : loop_(loop),
       bounds_(bounds),
       owner_(owner),
-      releases_(loop, static_cast<ReleasePool&>(*this)),
+      releases_(loop, static_cast<ReleaseHost&>(*this)),
       maintenance_timer_(loop, [this] { maintain(); }) {
     maintenance_timer_.set(kMaintenanceInterval);
 }
@@ -292,9 +296,9 @@
     if (upstreams_[server].connections == upstreams_[server].idle.size()) return;
     std::vector<Connection*> waiting;
     for (const auto& [attempt, connection] : attempts_)
-        if (connection->server() == server && connection->nothing_sent()) waiting.push_back(connection);
+        if (connection->server() == server && connection->is_connecting()) waiting.push_back(connection);
     for (Connection* connection : waiting)
-        attempt_failed(*connection, Loss::never_sent, "server accepts no new requests");
+        attempt_failed(*connection, Loss::not_fully_written, "server accepts no new requests");
 }
 
 void UpstreamPool::remove_server(ServerIndex server) {
@@ -304,7 +308,7 @@
     while (!upstreams_[server].idle.empty()) drop(*upstreams_[server].idle.back(), false);
 }
 
-bool UpstreamPool::is_idle(ServerIndex server) const {
+bool UpstreamPool::has_no_connections(ServerIndex server) const {
     return server >= upstreams_.size() || upstreams_[server].connections == 0;
 }
 
@@ -313,7 +317,8 @@
 UpstreamPool::Connection* UpstreamPool::take_idle(Upstream& upstream) {
     for (std::size_t n = upstream.idle.size(); n-- > 0;) {
         Connection* connection = upstream.idle[n];
-        // A quiet connection that has not been idle for long enough stays in the pool.
+        // A connection without pending input stays in the pool while the guard does not allow its reuse yet:
+        // a server may send a second answer shortly after the first.
         const bool quiet = connection->has_no_pending_input();
         if (owner_.guard().may_reuse({quiet, loop_.now() - connection->idle_since()}) == Denial::none) {
             upstream.idle.erase(upstream.idle.begin() + static_cast<std::ptrdiff_t>(n));
@@ -368,7 +373,7 @@
 bool UpstreamPool::cancel_unsent(AttemptId attempt) {
     if (dropped_unsent_.erase(attempt) > 0) return true;
     const auto it = attempts_.find(attempt);
-    if (it == attempts_.end() || !it->second->never_sent()) return false;
+    if (it == attempts_.end() || !it->second->is_not_fully_written()) return false;
     Connection& connection = *it->second;
     attempts_.erase(it);
     ++counts_.unsent;
@@ -407,24 +412,25 @@
 
 void UpstreamPool::attempt_failed(Connection& connection, Loss loss, const std::string& what) {
     if (connection.use() != Connection::Use::attempt) return drop(connection, false);
-    const bool never_sent = loss == Loss::never_sent;
+    const bool not_fully_written = loss == Loss::not_fully_written;
     const AttemptId attempt = connection.attempt();
     attempts_.erase(attempt);
-    ++(never_sent ? counts_.unsent : counts_.broken);
+    ++(not_fully_written ? counts_.unsent : counts_.broken);
     const bool stale = connection.is_stale();
     Upstream& upstream = upstreams_[connection.server()];
-    drop(connection, never_sent);
+    drop(connection, not_fully_written);
     // The server may drop idle connections without a close. Its other idle connections are as old, and
     // each would cost an attempt to find out.
     while (stale && !upstream.idle.empty()) drop(*upstream.idle.back(), false);
     AttemptOutcome outcome;
-    outcome.ending = never_sent ? Ending::unreachable : Ending::connection_lost;
-    outcome.stale_connection = stale && !never_sent;
+    outcome.ending = not_fully_written ? Ending::unreachable : Ending::connection_lost;
+    outcome.stale_connection = stale && !not_fully_written;
     outcome.closed_by_gateway = loss == Loss::closed_by_gateway;
     loop_.post([this, attempt, outcome, what] { owner_.attempt_ended(attempt, outcome, what); });
 }
 
-// Drops an attempt whose client has disconnected, which the loop has not processed yet.
+// Drops an unsent attempt whose client has disconnected, when the loop has not processed the disconnection
+// yet. The owner is notified later, from the loop.
 void UpstreamPool::drop_for_gone_client(AttemptId attempt) {
     attempts_.erase(attempt);
     ++counts_.unsent;
--- a/src/node/upstream_pool.h
+++ b/src/node/upstream_pool.h
@@ -1,6 +1,7 @@
 // Connection pool of model servers: one attempt at a time on each connection, which is made when needed and
-// closed before the server's idle time-out would close it. Distinguishes attempts that were never sent
-// (unreachable) from those that may have run (broken). The pool never retries by itself.
+// closed before the server's idle time-out would close it. Distinguishes attempts whose request was not
+// written completely (unreachable), so that they cannot have run, from those that may have run (broken). The
+// pool never retries by itself.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
 
 namespace copperfront {
 
-class UpstreamPool : public Membership::Connections, private ReleasePool {
+class UpstreamPool : public Membership::Connections, private ReleaseHost {
   public:
     struct Bounds {
         std::size_t connections = 256;    // to all servers together
@@ -60,7 +61,7 @@
     // Fails the attempts that still wait for a connection to this server; they were never sent.
     void stop_new_attempts(ServerIndex server) override;
     void remove_server(ServerIndex server) override;
-    bool is_idle(ServerIndex server) const override;
+    bool has_no_connections(ServerIndex server) const override;
 
     // An HTTP request. The time that is left until the deadline is inserted between its two parts when it is
     // written.
@@ -116,7 +117,7 @@
     void attempt_completed(Connection& connection, const AttemptOutcome& outcome);
     // How an attempt or a release ended without a response.
     enum class Loss {
-        never_sent,         // its last byte was not written
+        not_fully_written,  // its last byte was not written, though earlier ones may have been
         peer_closed,        // it may have run
         closed_by_gateway,  // the same, but its server may not have seen the close yet
     };
--- a/tests/explore/hold_simulation.cpp
+++ b/tests/explore/hold_simulation.cpp
@@ -40,7 +40,7 @@
     : hangs_left_(kMaxHangs), losses_left_(kMaxLosses), effectful_(options.effect == Effect::effectful) {
     dispatcher_ =
         std::make_unique<Dispatcher>(terms_for(options.effect), static_cast<DispatcherHost&>(*this), 7);
-    releases_ = std::make_unique<Releases>(static_cast<Clock&>(*this), static_cast<ReleasePool&>(*this));
+    releases_ = std::make_unique<Releases>(static_cast<Clock&>(*this), static_cast<ReleaseHost&>(*this));
     std::vector<ServerListing> list(kServers);
     for (ServerIndex server = 0; server < kServers; ++server) {
         list[server].server = server;
@@ -157,8 +157,8 @@
             order.key = key;
             order.id = request.id;
             order.server = at;
-            order.unanswered = entry.reason != HoldReason::prefill_answered;
-            order.may_be_followed = request.answers == 0 && !request.client_left;
+            order.prefill_unanswered = entry.reason != HoldReason::prefill_answered;
+            order.request_open = request.answers == 0 && !request.client_left;
             return releases_->order(order);
         }
     }
--- a/tests/explore/hold_simulation.h
+++ b/tests/explore/hold_simulation.h
@@ -20,7 +20,7 @@
 // Returns a choice from 0 to `count` - 1.
 using Chooser = std::function<std::size_t(std::size_t count)>;
 
-class HoldSimulation final : private DispatcherHost, private ReleasePool, private Clock {
+class HoldSimulation final : private DispatcherHost, private ReleaseHost, private Clock {
   public:
     struct Options {
         Effect effect = Effect::pure;
@@ -104,7 +104,7 @@
     void closed(RequestIndex) override {}
     void log(std::string_view) override {}
 
-    // ---- ReleasePool
+    // ---- ReleaseHost
     void visit_by_last_heard(const ServerVisitor& visit) const override;
     bool is_reachable(ServerIndex) const override { return true; }
     Instant address_since(ServerIndex) const override { return {}; }
--- a/tests/node/limits_test.cpp
+++ b/tests/node/limits_test.cpp
@@ -23,7 +23,7 @@
 };
 
 // Two servers: the first hangs; the second does not answer either, but releases may be sent to it.
-struct TwoServers : ReleasePool {
+struct TwoServers : ReleaseHost {
     HoldLedger hold_ledger{kMs * 1000};
     SendGuard send_guard{kMs * 1000};
     ReleaseCallId started = 0;
--- a/tests/node/membership_test.cpp
+++ b/tests/node/membership_test.cpp
@@ -23,7 +23,7 @@
     }
     void stop_new_attempts(ServerIndex server) override { stopped.insert(server); }
     void remove_server(ServerIndex server) override { removed.insert(server); }
-    bool is_idle(ServerIndex server) const override { return busy.count(server) == 0; }
+    bool has_no_connections(ServerIndex server) const override { return busy.count(server) == 0; }
 };
 
 struct RecordingOwner : Membership::Owner {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -357,7 +357,7 @@
     auto client = fixture.run_request();
     assert(client->is_complete());
     fixture.wait_until_idle();
-    assert(fixture.node->upstreams().release_counts().ordered > 0);
+    assert(fixture.node->upstreams().release_counts().requested > 0);
     const std::size_t releases = fixture.platform.count("DELETE");
     assert(releases > 0);
     // When a prefill server is gone, the release goes to another server.
