--- a/src/core/hold_ledger.cpp
+++ b/src/core/hold_ledger.cpp
@@ -105,8 +105,9 @@
     if (!never_sent(ending)) request->last_ended = now;
     if (is_answered(ending)) record_answered_end(*request, now);
     if (!is_answered(ending) && !never_sent(ending)) record_unanswered_end(*request, ended, now);
-    if (ended.prefill && ending == Ending::prefilled)
+    if (ended.prefill && ending == Ending::prefilled) {
         add_entry(*request, ended, HoldReason::prefill_answered, now);
+    }
     const bool lost = ending == Ending::connection_lost || ending == Ending::error;
     const bool not_awaited = ending == Ending::timed_out || ending == Ending::cancelled;
     if (ended.prefill && (lost || not_awaited)) {
@@ -153,8 +154,9 @@
 
 void HoldLedger::erase_if_done(RequestKey key) {
     const auto it = requests_.find(key);
-    if (it != requests_.end() && it->second.entries.empty() && it->second.in_flight.empty())
+    if (it != requests_.end() && it->second.entries.empty() && it->second.in_flight.empty()) {
         requests_.erase(it);
+    }
 }
 
 // ---- held states
@@ -184,8 +186,9 @@
 void HoldLedger::want_release(RequestKey key, AttemptId attempt) {
     Request* const request = find(key);
     if (request == nullptr) return;
-    for (Entry& entry : request->entries)
+    for (Entry& entry : request->entries) {
         entry.release_wanted = entry.release_wanted || entry.attempt == attempt;
+    }
 }
 
 HoldLedger::Need HoldLedger::release_need(RequestKey key, Instant now) const {
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -73,12 +73,14 @@
             const std::size_t took = message_->take(bytes);
             stream_->drain(took);
             if (message_->error() != http::ParseError::none) return parent_.call_failed(*this, error_text());
-            if (!list_error_.empty())
+            if (!list_error_.empty()) {
                 return parent_.call_failed(*this, "malformed server list: " + list_error_);
+            }
             if (message_->done()) return finish_response();
         }
-        if (stream_ && stream_->buffered() > 0)
+        if (stream_ && stream_->buffered() > 0) {
             parent_.call_failed(*this, "unexpected bytes after the response");
+        }
     }
     void stream_closed(Stream&, CloseReason, const std::string& what) override {
         // A response without a length ends with the connection.
@@ -101,8 +103,9 @@
             if (!parent_.has_watch_) parent_.response_started(*this);
         }
         Duration limit = kResponseTimeout;
-        if (is_sabotaged(Sabotage::list_given_up_early))
+        if (is_sabotaged(Sabotage::list_given_up_early)) {
             limit = started_at_ + kSabotagedTimeout - loop_.now();
+        }
         if (parent_.has_watch_) limit = std::min(limit, started_at_ + kWatchResponseTimeout - loop_.now());
         timeout_.set(limit);
     }
@@ -116,8 +119,9 @@
     }
 
     void timed_out() {
-        if (started_ || slow_ || !parent_.may_wait_longer(*this))
+        if (started_ || slow_ || !parent_.may_wait_longer(*this)) {
             return parent_.call_failed(*this, "no answer in time");
+        }
         slow_ = true;
         timeout_.set(kSlowResponseTimeout);
     }
--- a/src/node/late_attempts.cpp
+++ b/src/node/late_attempts.cpp
@@ -60,8 +60,9 @@
 void LateAttempts::release_at_own_server(Attempt& attempt) {
     const Instant now = clock_.now();
     if (attempt.call != 0 && now - attempt.call_started >= kFollowCallTimeout) cancel_own_call(attempt);
-    if (attempt.call != 0 || now < attempt.next_call_at || servers_called_.count(attempt.info.server) > 0)
+    if (attempt.call != 0 || now < attempt.next_call_at || servers_called_.count(attempt.info.server) > 0) {
         return;
+    }
     if (attempt.removed_at.us != 0) return;
     attempt.call = host_.start_release(attempt.info.server, attempt.info.id);
     if (attempt.call != 0) servers_called_.insert(attempt.info.server);
@@ -115,8 +116,9 @@
     if (match == attempts_.end()) return false;
     if (match->other_call == call) {
         match->other_call = 0;
-        if (!answered)
+        if (!answered) {
             match->next_other_call_at = std::min(match->next_other_call_at, clock_.now() + kNextRoundDelay);
+        }
         return true;
     }
     match->call = 0;
--- a/src/soak/judge.cpp
+++ b/src/soak/judge.cpp
@@ -124,14 +124,16 @@
         judgement_.rejected += request.fate == RequestOutcome::rejected;
         judgement_.failed += request.fate == RequestOutcome::failed || request.fate == RequestOutcome::broken;
         judgement_.left += request.fate == RequestOutcome::client_left;
-        if (request.corrupted)
+        if (request.corrupted) {
             return add_finding("lost", id, "its answer was corrupted on the way through the gateway");
+        }
         if (request.fate == RequestOutcome::client_left) return;
         const bool killed_while_open =
             runs_until(request) < request.deadline + kAnswerAfterDeadline &&
             runs_until(request) <= std::max(request.ended, request.sent) + kMachineSlack;
-        if (request.fate == RequestOutcome::closed_unanswered)
+        if (request.fate == RequestOutcome::closed_unanswered) {
             return check_closed(id, history, killed_while_open);
+        }
         // A request behind another answer of its connection can't be answered before that answer has ended.
         const bool is_behind_another_answer = request.is_pipelined && history.attempts.empty();
         if (is_behind_another_answer && request.fate != RequestOutcome::broken) return;
@@ -141,8 +143,9 @@
             }
             return;
         }
-        if (request.fate == RequestOutcome::broken && killed_while_open)
+        if (request.fate == RequestOutcome::broken && killed_while_open) {
             return check_late_stream(id, request);
+        }
         if (request.first_byte > request.deadline + kAnswerAfterDeadline) {
             add_finding("lost", id, "its answer came long after its deadline");
         }
@@ -161,8 +164,9 @@
             return;
         }
         // On a connection that was open before, a close may cross a request that has not been read.
-        if (!history.attempts.empty())
+        if (!history.attempts.empty()) {
             return add_finding("lost", id, "sent to a server, and closed unanswered");
+        }
         if (request.on_new_connection && !request.is_pipelined && terminated_at(request) == 0) {
             add_finding("lost", id, "a new connection was closed unanswered");
         }
@@ -311,8 +315,9 @@
             const Attempt& later = history.attempts[n];
             const Microseconds ended = earlier.outcome != nullptr ? earlier.outcome->at : records_.ended;
             // A reset by the network reaches both ends at once, but each notices it at a time of its own.
-            if (ended <= later.arrived->at + kResetPropagation || earlier.never_ran || later.never_ran)
+            if (ended <= later.arrived->at + kResetPropagation || earlier.never_ran || later.never_ran) {
                 continue;
+            }
             // The call was in the socket buffer of a server that hung, and was read once it ran again.
             if (has_fault(later.arrived->server, later.arrived->at - kMachineSlack, later.arrived->at)) {
                 continue;
@@ -435,8 +440,9 @@
     for (std::size_t n = 0; n < findings.size() && n < kMaxFindingsShown; ++n) {
         out << "  " << findings[n].rule << ": " << findings[n].request << ": " << findings[n].what << '\n';
     }
-    if (findings.size() > kMaxFindingsShown)
+    if (findings.size() > kMaxFindingsShown) {
         out << "  and " << findings.size() - kMaxFindingsShown << " more\n";
+    }
     return out.str();
 }
 
--- a/src/soak/load_client.cpp
+++ b/src/soak/load_client.cpp
@@ -144,8 +144,9 @@
     pending_.clear();
     answer_timer_.cancel();
     // A client that only shuts down its sending side stays for a while to read.
-    if (disconnect_mode_ == DisconnectMode::half_close)
+    if (disconnect_mode_ == DisconnectMode::half_close) {
         Stream::detach_and_half_close(loop_, std::move(stream_));
+    }
     drop_connection(disconnect_mode_ == DisconnectMode::reset_connection);
     schedule_next_request();
 }
--- a/src/soak/model_server.cpp
+++ b/src/soak/model_server.cpp
@@ -198,8 +198,9 @@
         // A hand-over cannot run without its state, whatever other fault it would meet.
         if (!prefill && !has_state) return reject(410);
         if (fault_ == CallFault::error) return finish(response(500, "", ""));
-        if (fault_ == CallFault::error_truncated)
+        if (fault_ == CallFault::error_truncated) {
             return send_part_and_stall(response(500, "", "something went wrong"));
+        }
         if (fault_ == CallFault::reset_on_arrival) return end_connection(true);
         if (fault_ == CallFault::closed_on_arrival) return end_connection(false);
         busy_ = true;
--- a/tests/explore/hold_simulation.cpp
+++ b/tests/explore/hold_simulation.cpp
@@ -106,8 +106,9 @@
     const bool client_long_gone = request.client_left && now_ - request.client_left_at > kLeaveSlack;
     if (client_long_gone) report_finding("lost: an attempt after its client left");
     for (const auto& [id, other] : attempts_) {
-        if (other.request == request.id && !other.closed)
+        if (other.request == request.id && !other.closed) {
             report_finding("duplicate: a second attempt in flight");
+        }
     }
     Attempt attempt;
     attempt.id = attempt_id;
@@ -168,10 +169,12 @@
     Request& request = *find_request(request_index);
     add_to_trace("final answer to " + request.id + (is_rejection ? ": rejected" : ""));
     if (++request.answers > 1) report_finding("lost: a second final answer");
-    if (!request.streaming && now_ > request.deadline + kAnswerSlack)
+    if (!request.streaming && now_ > request.deadline + kAnswerSlack) {
         report_finding("lost: a final answer too late");
-    if (is_rejection && effectful_ && request.executions > 0)
+    }
+    if (is_rejection && effectful_ && request.executions > 0) {
         report_finding("duplicate: rejected after it has run");
+    }
 }
 
 ReleaseCallId HoldSimulation::start_release(ServerIndex server, const std::string& id) {
@@ -231,8 +234,9 @@
         if (attempt.closed) return remove(attempt_id);
         return end_attempt(attempt_id, Ending::refused, true);
     }
-    if (++request_by_id(attempt.request).executions > 1 && effectful_)
+    if (++request_by_id(attempt.request).executions > 1 && effectful_) {
         report_finding("duplicate: an effect happened twice");
+    }
     if (attempt.closed) return;
     start_stream(attempt_id);
 }
@@ -253,66 +257,64 @@
     remove(attempt_id);
 }
 
-void HoldSimulation::add_attempt_events(std::vector<Event>& events, AttemptId attempt_id) {
-    const Attempt& attempt = attempts_.at(attempt_id);
-    const std::string name = std::to_string(attempt_id);
+void HoldSimulation::add_attempt_events(std::vector<Event>& events, AttemptId id) {
+    const Attempt& attempt = attempts_.at(id);
+    const std::string name = std::to_string(id);
     const bool server_is_running = is_running(attempt.server);
     const auto add = [&](const std::string& description, std::function<void()> action) {
         events.push_back({description + " " + name, std::move(action)});
     };
     switch (attempt.phase) {
         case Phase::connecting:
-            add("connected", [this, attempt_id] {
-                if (dispatcher_->may_still_send(
-                        attempt_id, find_request(attempts_.at(attempt_id).request_index)->client_left, {}) !=
-                    Denial::none) {
-                    return end_attempt(attempt_id, Ending::unreachable);
+            add("connected", [this, id] {
+                if (dispatcher_->may_still_send(id, find_request(attempts_.at(id).request_index)->client_left,
+                                                {}) != Denial::none) {
+                    return end_attempt(id, Ending::unreachable);
                 }
-                find(attempt_id)->phase = Phase::in_socket;
+                find(id)->phase = Phase::in_socket;
             });
-            add("connection refused", [this, attempt_id] { end_attempt(attempt_id, Ending::unreachable); });
+            add("connection refused", [this, id] { end_attempt(id, Ending::unreachable); });
             return;
         case Phase::in_socket:
-            if (server_is_running) add("arrived", [this, attempt_id] { arrive(attempt_id); });
-            add("reset unread", [this, attempt_id] { reset(attempt_id); });
+            if (server_is_running) add("arrived", [this, id] { arrive(id); });
+            add("reset unread", [this, id] { reset(id); });
             return;
         case Phase::working:
             break;
         case Phase::partly_answered:
-            add("reset partly answered",
-                [this, attempt_id] { end_attempt(attempt_id, Ending::connection_lost); });
+            add("reset partly answered", [this, id] { end_attempt(id, Ending::connection_lost); });
             return;
         case Phase::streaming:
             if (server_is_running) {
-                add("stream ended", [this, attempt_id] { end_attempt(attempt_id, Ending::completed); });
+                add("stream ended", [this, id] { end_attempt(id, Ending::completed); });
             }
-            add("stream broke", [this, attempt_id] { end_attempt(attempt_id, Ending::connection_lost); });
+            add("stream broke", [this, id] { end_attempt(id, Ending::connection_lost); });
             return;
     }
-    add("reset while working", [this, attempt_id] { reset(attempt_id); });
+    add("reset while working", [this, id] { reset(id); });
     if (!server_is_running) return;
-    add("refused", [this, attempt_id] { end_attempt(attempt_id, Ending::refused); });
-    add("error", [this, attempt_id] { end_attempt(attempt_id, Ending::error); });
+    add("refused", [this, id] { end_attempt(id, Ending::refused); });
+    add("error", [this, id] { end_attempt(id, Ending::error); });
     if (!attempt.prefill) {
-        add("state taken, stream begins", [this, attempt_id] { take_state(attempt_id); });
+        add("state taken, stream begins", [this, id] { take_state(id); });
         return;
     }
-    add("prefilled", [this, attempt_id] {
-        states_.prefill_ended(find(attempt_id)->request, std::to_string(attempt_id));
-        end_attempt(attempt_id, Ending::prefilled);
+    add("prefilled", [this, id] {
+        states_.prefill_ended(find(id)->request, std::to_string(id));
+        end_attempt(id, Ending::prefilled);
     });
-    add("prefilled, answer lost", [this, attempt_id] {
-        states_.prefill_ended(find(attempt_id)->request, std::to_string(attempt_id));
-        end_attempt(attempt_id, Ending::connection_lost);
+    add("prefilled, answer lost", [this, id] {
+        states_.prefill_ended(find(id)->request, std::to_string(id));
+        end_attempt(id, Ending::connection_lost);
     });
-    add("prefilled, answer partly sent", [this, attempt_id] {
-        Attempt& prefill = *find(attempt_id);
-        states_.prefill_ended(prefill.request, std::to_string(attempt_id));
+    add("prefilled, answer partly sent", [this, id] {
+        Attempt& prefill = *find(id);
+        states_.prefill_ended(prefill.request, std::to_string(id));
         prefill.phase = Phase::partly_answered;
         prefill.since = now_;
         last_heard_[prefill.server] = now_;
         restart_hold_limit(prefill.request);
-        dispatcher_->answer_began(attempt_id);
+        dispatcher_->answer_began(id);
     });
 }
 
@@ -442,8 +444,9 @@
     // A running server answers a release soon.
     std::vector<ReleaseCallId> overdue_calls;
     for (const auto& [call, release_call] : release_calls_) {
-        if (is_running(release_call.server) && now_ - release_call.since >= ms(100))
+        if (is_running(release_call.server) && now_ - release_call.since >= ms(100)) {
             overdue_calls.push_back(call);
+        }
     }
     for (const ReleaseCallId call : overdue_calls) answer_release(call, true);
     releases_->send_due();
@@ -499,8 +502,9 @@
     const bool all_finished = std::all_of(requests_.begin(), requests_.end(),
                                           [](const Request& r) { return r.answers > 0 || r.client_left; });
     if (!all_finished) return;
-    if (ledger().size() > 0 || releases_->owed() > 0)
+    if (ledger().size() > 0 || releases_->owed() > 0) {
         report_finding("books: the ledger or the releases are not empty at the end");
+    }
 }
 
 std::size_t HoldSimulation::hash() const {
